--- a/features/steps/clocks.py
+++ b/features/steps/clocks.py
@@ -51,13 +51,13 @@
 def granted(context):
     settable(context)
     now = context.process_clock.now()
-    node = Node('n1', 'route', '127.0.0.1:1', 'z1', 1, generation=3, heard=now, lease=now + GRANTED)
+    node = Node('n1', 'route', '127.0.0.1:1', 'z1', 1, generation=3, last_heard=now, lease_end=now + GRANTED)
     context.core = Core('c1', '127.0.0.1:2', 'z1', (), nodes=Map({'n1': node}))
 
 
 @then('the routing node still counts as one that may send under the old generation')
 def still_late(context):
-    assert leases.late(context.core, 4, context.process_clock.now()) == ['n1']
+    assert leases.nodes_under_old_leases(context.core, 4, context.process_clock.now()) == ['n1']
 
 
 @given('a store whose steady clock reads {seconds:g} s more than the wall clock')
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -301,7 +301,7 @@
             gone,
             status,
             (answer, await town.ask('GET', '/v1/policy')),
-            [core_state.primary(town.hosts[n].state) for n in town.named('core')],
+            [core_state.is_primary(town.hosts[n].state) for n in town.named('core')],
         )
 
     context.gone, context.status, context.policies, context.led = context.play(script)
--- a/features/steps/failures.py
+++ b/features/steps/failures.py
@@ -79,8 +79,8 @@
         later = town.hosts[second].state
         return (
             second,
-            [core_state.primary(s) for s in (now, later)],
-            [core_state.copy_of(s).seat for s in (now, later)],
+            [core_state.is_primary(s) for s in (now, later)],
+            [core_state.core_copy(s).seat for s in (now, later)],
         )
 
     context.ring = play(context.seed, context.deploy, script)
--- a/features/steps/idle.py
+++ b/features/steps/idle.py
@@ -23,9 +23,9 @@
         self.patches = [
             patch.object(sim.SimNet, 'ask', self.by_machine(sim.SimNet.ask, self.asks)),
             patch.object(sim.SimClock, 'sleep', self.by_machine(sim.SimClock.sleep, self.sleeps)),
-            patch.object(leases, 'news', self.counted(leases.news, 'looks')),
-            patch.object(leases, 'answer_one', self.counted(leases.answer_one, 'answers')),
-            patch.object(leases, 'answer', self.counted(leases.answer, 'batches')),
+            patch.object(leases, 'allocation_changed', self.counted(leases.allocation_changed, 'looks')),
+            patch.object(leases, 'answer_poll', self.counted(leases.answer_poll, 'answers')),
+            patch.object(leases, 'answer_polls', self.counted(leases.answer_polls, 'batches')),
             patch.object(core, 'tick', self.counted(core.tick, 'ticks')),
         ]
 
--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -215,7 +215,13 @@
     rows['part/p00'] = (1, 0, *names)
     copy = Copy('core', Seat(1, 0, 'c1'), full=True, ready=True, rows=Map(rows))
     state = core_state.Core(
-        'c1', '1:1', 'z', (), group.State('c1', Map({'core': copy})), losses=copies - 1, lone=True
+        'c1',
+        '1:1',
+        'z',
+        (),
+        group.State('c1', Map({'core': copy})),
+        tolerated_losses=copies - 1,
+        degraded_mode=True,
     )
     context.effects = []
     placement.check_members(state, 'p00', [2, 1, *names[:members]], context.effects)
@@ -237,12 +243,12 @@
         (),
         group.State('c1', Map({'core': copy})),
         fleet=fleet,
-        acknowledged=acked,
-        seated=NOW,
+        acknowledged_generation=acked,
+        primary_since=NOW,
     )
     context.effects = []
     ret = {'ok': True, 'rows': Map({'gen': shown})}
-    core.done(state, Done(('c', 'show', 1), ret), NOW, context.effects)
+    core.finish_command(state, Done(('c', 'show', 1), ret), NOW, context.effects)
 
 
 @then('"{name}" was found among the effects')
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -82,8 +82,8 @@
             ('1:1',),
             group.State('c1', Map({'core': copy})),
             fleet=fleet,
-            seated=START,
-            born=START,
+            primary_since=START,
+            started_at=START,
         )
         self.calls = 0
 
@@ -96,7 +96,7 @@
     def poll(self, store, address, zone):
         self.calls += 1
         message = {'k': 'poll', 'node': store, 'role': 'store', 'address': address, 'zone': zone, 'inc': 1}
-        number = core_state.register_of(self.state)['number']
+        number = core_state.current_register(self.state)['number']
         self.step(Told(self.calls, {**message, 'generation': 0, 'place': 0, 'number': number}))
 
     def run(self, seconds, stores):
@@ -108,7 +108,7 @@
             self.step(Tick())
 
     def grant(self, part, *members):
-        seat = core_state.rows_of(self.state)[f'part/{part}']
+        seat = core_state.confirmed_rows(self.state)[f'part/{part}']
         self.calls += 1
         seat = [seat[0] + 1, seat[0], *members]
         self.step(Told(self.calls, {'k': 'seat', 'part': part, 'seat': seat}))
@@ -169,7 +169,7 @@
         rows['member/c']['state'] = 'replaced'
     rows['part/p00'] = (3, 2, 'a', 'b', 'c')
     context.core = LoneCore(rows)
-    context.core.state = context.core.state._replace(lone=True, losses=2)
+    context.core.state = context.core.state._replace(degraded_mode=True, tolerated_losses=2)
 
 
 @when('"{name}" has polled')
@@ -184,18 +184,18 @@
 
 @then('no move is planned')
 def no_move(context):
-    assert placement.plans(context.core.state, context.core.now) == []
+    assert placement.plan_reconfigurations(context.core.state, context.core.now) == []
 
 
 @then('the one move that is planned drops "c"')
 def drops(context):
-    (move,) = placement.plans(context.core.state, context.core.now)
+    (move,) = placement.plan_reconfigurations(context.core.state, context.core.now)
     assert move == ('p00', 'a', 'a', (4, 3, 'a', 'b')), move
 
 
 @then('the one move that is planned brings another store in place of "c"')
 def brings(context):
-    (move,) = placement.plans(context.core.state, context.core.now)
+    (move,) = placement.plan_reconfigurations(context.core.state, context.core.now)
     assert move == ('p00', 'a', 'd', (4, 3, 'a', 'b', 'd')), move
 
 
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -784,7 +784,7 @@
 def feed_command(pair, command):
     """A command of the core's own, put to its replica set."""
     out = []
-    state = core.feed(pair.state, Op('core', ('c', 'none'), command), pair.now, out)
+    state = core.step_replication(pair.state, Op('core', ('c', 'none'), command), pair.now, out)
     return state, out
 
 
--- a/src/quillstall/controlplane/core.py
+++ b/src/quillstall/controlplane/core.py
@@ -8,22 +8,22 @@
 
 from quillstall.controlplane import book, formation, leases, membership, placement, pooled_failures, status
 from quillstall.controlplane.core_state import (
-    STORE_SILENT,
+    STORE_TIMEOUT,
     Core,
     Node,
+    PendingChange,
     Poll,
-    Wait,
-    apply_part,
-    copies,
-    copy_of,
-    crew_of,
-    crews,
-    early,
+    apply_command,
+    confirmed_rows,
+    core_copy,
+    current_register,
+    current_voters,
+    is_primary,
     load,
-    newest,
-    primary,
-    register_of,
-    rows_of,
+    newest_replica_set,
+    old_leases_may_run,
+    replication_factor,
+    voter_sets,
     where,
 )
 from quillstall.network import listing
@@ -49,13 +49,17 @@
 
 __all__ = ['load', 'step', 'where']  # what a role offers to the process that runs it
 
-HOLD_POLL = timedelta(milliseconds=250)
-HOLD_TOGETHER = timedelta(milliseconds=60)  # polls this close to their time are answered with one that is due
-ALLOT_EVERY = timedelta(milliseconds=500)
-FORGET = timedelta(seconds=60)  # so long silent and without a lease, a start of a routing node is forgotten
-GREET_EVERY = timedelta(seconds=1)
-GREET_MOST = 16
-DUTY_TERM = timedelta(milliseconds=3300)  # a little longer than the holder counts on
+POLL_HOLD_TIME = timedelta(milliseconds=250)
+POLL_BATCH_WINDOW = timedelta(
+    milliseconds=60
+)  # polls this close to their time are answered with one that is due
+ALLOCATION_INTERVAL = timedelta(milliseconds=500)
+NODE_EXPIRY = timedelta(
+    seconds=60
+)  # so long silent and without a lease, a start of a routing node is forgotten
+HELLO_INTERVAL = timedelta(seconds=1)
+MAX_HELLOS = 16
+LEADERSHIP_TERM = timedelta(milliseconds=3300)  # a little longer than the holder counts on
 
 
 def step(state: Core, event: Any, now: datetime) -> tuple[Core, tuple]:
@@ -67,208 +71,245 @@
     >>> s, e = step(s, Told(1, {'k': 'poll', 'node': 'n1'}), t); e[0].ret['fault']
     'core_away'
     """
-    out: list = []
-    state = _step(state, event, now, out)
-    return state, tuple(out)
+    effects: list = []
+    state = _dispatch(state, event, now, effects)
+    return state, tuple(effects)
 
 
-def _step(state: Core, event: Any, now: datetime, out: list) -> Core:
+def _dispatch(state: Core, event: Any, now: datetime, effects: list) -> Core:
     kind = type(event)
     if kind is Told:
-        return told(state, event, now, out)
+        return handle_message(state, event, now, effects)
     if kind is Tick:
-        return tick(state._replace(wall_ahead=event.wall_ahead), now, out)
+        return tick(state._replace(wall_ahead=event.wall_ahead), now, effects)
     if kind is Listing:
-        return flush(state._replace(listing=event.rows), now, out)
+        return answer_due_polls(state._replace(listing=event.rows), now, effects)
     if kind is Heard and event.tag[0] == 'b':
-        return ballots(state, event, now, out)
+        return handle_ballot_reply(state, event, now, effects)
     if kind is Heard and event.tag[0] == 'f':
-        return formed(state, event, now, out)
+        return handle_core_reply(state, event, now, effects)
     if kind is Wrote and event.tag[0] == 'w':
-        out.extend(ballot.wrote(event))
+        effects.extend(ballot.wrote(event))
         return state
     if kind is Wrote and event.tag[0] == 'f':
-        return wrote(state, event, now, out)
+        return finish_fleet_write(state, event, now, effects)
     if kind in (Heard, Wrote) and event.tag[0] == 'g':
-        return feed(state, event, now, out)
+        return step_replication(state, event, now, effects)
     return state
 
 
-def feed(state: Core, event: Any, now: datetime, out: list) -> Core:
+def step_replication(state: Core, event: Any, now: datetime, effects: list) -> Core:
     """Give the group an event, and do here what concerns this process."""
-    was = primary(state)
-    inner, effects = group.step(state.copies, event, now, apply_part)
-    state = state._replace(copies=inner)
-    if primary(state) and not was:
+    was_primary = is_primary(state)
+    copies, group_effects = group.step(state.copies, event, now, apply_command)
+    state = state._replace(copies=copies)
+    if is_primary(state) and not was_primary:
         state = state._replace(
-            seated=now,
+            primary_since=now,
             nodes=Map(),
-            held=Map(),
-            targets={},
-            wants={},
-            polls=(),
-            guests=Map(),
-            swap=None,
-            alive=(),
-            settled=(0, None),
+            held_slots=Map(),
+            allocations={},
+            allocated_demand={},
+            pending_polls=(),
+            waiting_cores=Map(),
+            voter_change=None,
+            last_live_stores=(),
+            settled_register=(0, None),
         )
-    if was and not primary(state):
-        for poll in state.polls:
-            out.append(Return(poll.call, Fault('moved', 'not the primary now').pack()))
-        for wait in state.waits:
-            out.append(Return(wait.call, Fault('moved', 'not the primary now', ran='unknown').pack()))
-        state = state._replace(seated=None, polls=(), waits=())
-    for effect in effects:
+    if was_primary and not is_primary(state):
+        for poll in state.pending_polls:
+            effects.append(Return(poll.call, Fault('moved', 'not the primary now').pack()))
+        for change in state.pending_changes:
+            effects.append(Return(change.call, Fault('moved', 'not the primary now', ran='unknown').pack()))
+        state = state._replace(primary_since=None, pending_polls=(), pending_changes=())
+    for effect in group_effects:
         if type(effect) is Done:
-            state = done(state, effect, now, out)
+            state = finish_command(state, effect, now, effects)
         elif type(effect) is Propose:
-            state = membership.propose(state, effect, now, out)
+            state = membership.propose_replica_set(state, effect, now, effects)
         else:
-            out.append(effect)
+            effects.append(effect)
     return state
 
 
-def ballots(state: Core, event: Heard, now: datetime, out: list) -> Core:
-    copy = copy_of(state)
-    own = copy.seat if copy and copy.full else None
-    ret = event.ret or {}
+def handle_ballot_reply(state: Core, event: Heard, now: datetime, effects: list) -> Core:
+    copy = core_copy(state)
+    own_replica_set = copy.seat if copy and copy.full else None
+    reply = event.ret or {}
     if (
-        ret.get('seat')
-        and ret.get('crew')
-        and ret['seat'][0] > max(state.fleet['epoch'], state.maybe[0] if state.maybe else 0)
+        reply.get('seat')
+        and reply.get('crew')
+        and reply['seat'][0]
+        > max(state.fleet['epoch'], state.possible_voters[0] if state.possible_voters else 0)
     ):
-        state = state._replace(maybe=(ret['seat'][0], ballot.tuples(ret['crew'])))
-    run, effects, events = ballot.heard(
-        state.run, event, state.me, crews(state), own, lambda yes: membership.seated_next(state, yes), now
+        state = state._replace(possible_voters=(reply['seat'][0], ballot.tuples(reply['crew'])))
+    campaign, ballot_effects, events = ballot.heard(
+        state.campaign,
+        event,
+        state.me,
+        voter_sets(state),
+        own_replica_set,
+        lambda granted_by: membership.next_members(state, granted_by),
+        now,
     )
-    out.extend(effects)
-    state = state._replace(run=run)
-    if run.stage == 'won':
-        state = membership.won(state, now, out)
-    for inner in events:
-        state = feed(state, inner, now, out)
+    effects.extend(ballot_effects)
+    state = state._replace(campaign=campaign)
+    if campaign.stage == 'won':
+        state = membership.finish_election(state, now, effects)
+    for group_event in events:
+        state = step_replication(state, group_event, now, effects)
     return state
 
 
-def told(state: Core, event: Told, now: datetime, out: list) -> Core:
-    m = event.message
-    kind = m.get('k')
+def handle_message(state: Core, event: Told, now: datetime, effects: list) -> Core:
+    message = event.message
+    kind = message.get('k')
     if kind in ('hail', 'form'):
-        return formation.hail(state, event, now, out)
+        return formation.handle_formation_request(state, event, now, effects)
     if kind == 'who':
-        out.append(Return(event.call, status.who(state)))
+        effects.append(Return(event.call, status.describe_process(state)))
         return state
     if kind == 'greet':
         if state.fleet is None:  # an empty folder, and seeds that are gone
-            membership.admit(state, m['core'][int(now.timestamp()) % len(m['core'])], out)
-        out.append(Return(event.call, {'ok': True}))
+            membership.request_admission(
+                state, message['core'][int(now.timestamp()) % len(message['core'])], effects
+            )
+        effects.append(Return(event.call, {'ok': True}))
         return state
     if kind == 'fleet':
-        return learn(state, m['fleet'], m.get('seat'), event.call, now, out)
+        return learn_fleet(state, message['fleet'], message.get('seat'), event.call, now, effects)
     if state.fleet is None:
-        out.append(Return(event.call, Fault('core_away', 'this core has no fleet yet').pack()))
+        effects.append(Return(event.call, Fault('core_away', 'this core has no fleet yet').pack()))
         return state
     if kind in ballot.KINDS:
-        run = state.run
-        witness, effects = ballot.cast(state.witness, event)
-        run = run._replace(seen=max(run.seen, witness.promised))
-        out.extend(effects)
-        return state._replace(witness=witness, run=run)
+        campaign = state.campaign
+        acceptor, ballot_effects = ballot.cast(state.acceptor, event)
+        campaign = campaign._replace(seen=max(campaign.seen, acceptor.promised))
+        effects.extend(ballot_effects)
+        return state._replace(acceptor=acceptor, campaign=campaign)
     if kind in group.KINDS:
-        return feed(state, event, now, out)
+        return step_replication(state, event, now, effects)
     if kind == 'duty':
-        return cast_duty(state, event, now, out)
+        return vote_on_leadership(state, event, now, effects)
     if kind == 'status':
-        out.append(Return(event.call, status.status(state, now)))
+        effects.append(Return(event.call, status.status(state, now)))
         return state
-    if not primary(state):
-        seat = newest(state)
-        at = where(state, seat.primary) if seat and seat.primary != state.me else None
-        out.append(Return(event.call, Fault('core_away', 'not the primary', more={'at': at}).pack()))
+    if not is_primary(state):
+        replica_set = newest_replica_set(state)
+        at = where(state, replica_set.primary) if replica_set and replica_set.primary != state.me else None
+        effects.append(Return(event.call, Fault('core_away', 'not the primary', more={'at': at}).pack()))
         return state
     if kind == 'poll':
-        return polled(state, event, now, out)
+        return handle_poll(state, event, now, effects)
     if kind == 'admit':
-        if m['address'] not in state.guests and m['member'] not in dict(crew_of(state)):
-            out.append(Note('guest', {'name': m['member'], 'address': m['address']}))
-        if m['member'] not in dict(crew_of(state)):
-            state = state._replace(guests=state.guests.set(m['address'], (m['member'], m['zone'])))
-        out.append(Return(event.call, {'ok': True}))
+        if message['address'] not in state.waiting_cores and message['member'] not in dict(
+            current_voters(state)
+        ):
+            effects.append(Note('guest', {'name': message['member'], 'address': message['address']}))
+        if message['member'] not in dict(current_voters(state)):
+            state = state._replace(
+                waiting_cores=state.waiting_cores.set(
+                    message['address'], (message['member'], message['zone'])
+                )
+            )
+        effects.append(Return(event.call, {'ok': True}))
         return state
     if kind == 'swap':
-        return membership.swapping(state, event, now, out)
+        return membership.request_voter_change(state, event, now, effects)
     if kind == 'hand_over':
-        return membership.hand_over(state, event, now, out)
-    command = {k: v for k, v in m.items() if k not in ('k', 'at')}
+        return membership.hand_over(state, event, now, effects)
+    command = {k: v for k, v in message.items() if k not in ('k', 'at')}
     if kind in ('apply', 'leaving'):
-        return feed(state, Op('core', ('c', 'gen', event.call), {**command, 'op': kind}), now, out)
+        return step_replication(
+            state, Op('core', ('c', 'gen', event.call), {**command, 'op': kind}), now, effects
+        )
     if kind == 'retire':
-        command['live'] = [n.name for n in placement.stores(state, now)]
-        command['copies'] = copies(state)
-        return feed(state, Op('core', ('c', 'ret', event.call), {**command, 'op': 'retire'}), now, out)
+        command['live'] = [n.name for n in placement.live_stores(state, now)]
+        command['copies'] = replication_factor(state)
+        return step_replication(
+            state, Op('core', ('c', 'ret', event.call), {**command, 'op': 'retire'}), now, effects
+        )
     if kind == 'seat':
-        placement.check_members(state, m['part'], m['seat'], out)
-        return feed(state, Op('core', ('c', 'seat', event.call), {**command, 'op': 'seat'}), now, out)
+        placement.check_members(state, message['part'], message['seat'], effects)
+        return step_replication(
+            state, Op('core', ('c', 'seat', event.call), {**command, 'op': 'seat'}), now, effects
+        )
     if kind == 'show':
-        return feed(state, Op('core', ('c', 'show', event.call, m.get('id')), {'op': 'confirm'}), now, out)
-    out.append(Return(event.call, Fault('garbled', f'no message of kind {kind!r}').pack()))
+        return step_replication(
+            state, Op('core', ('c', 'show', event.call, message.get('id')), {'op': 'confirm'}), now, effects
+        )
+    effects.append(Return(event.call, Fault('garbled', f'no message of kind {kind!r}').pack()))
     return state
 
 
-def cast_duty(state: Core, event: Told, now: datetime, out: list) -> Core:
+def vote_on_leadership(state: Core, event: Told, now: datetime, effects: list) -> Core:
     """This witness's ballot for a duty: for one holder a term; none just after a start, when the
     ballots cast before it are forgotten."""
-    name, by = event.message['name'], event.message['by']
-    row = state.duties.get(name)
-    yes = now - state.born >= DUTY_TERM and (row is None or row[1] <= now or row[0] == by)
-    out.append(Return(event.call, {'ok': yes, 'holder': by if yes else row[0] if row else None}))
-    return state._replace(duties=state.duties.set(name, (by, now + DUTY_TERM))) if yes else state
-
-
-def polled(state: Core, event: Told, now: datetime, out: list) -> Core:
-    m = event.message
-    old = state.nodes.get(m['node'])
-    if old and m['inc'] < old.inc:
-        out.append(Return(event.call, Fault('refused', 'a later start of this node is known').pack()))
+    name, candidate = event.message['name'], event.message['by']
+    vote = state.leadership_votes.get(name)
+    granted = now - state.started_at >= LEADERSHIP_TERM and (
+        vote is None or vote[1] <= now or vote[0] == candidate
+    )
+    effects.append(
+        Return(event.call, {'ok': granted, 'holder': candidate if granted else vote[0] if vote else None})
+    )
+    return (
+        state._replace(leadership_votes=state.leadership_votes.set(name, (candidate, now + LEADERSHIP_TERM)))
+        if granted
+        else state
+    )
+
+
+def handle_poll(state: Core, event: Told, now: datetime, effects: list) -> Core:
+    message = event.message
+    previous = state.nodes.get(message['node'])
+    if previous and message['inc'] < previous.incarnation:
+        effects.append(Return(event.call, Fault('refused', 'a later start of this node is known').pack()))
         return state
     node = Node(
-        m['node'],
-        m['role'],
-        m['address'],
-        m['zone'],
-        m['inc'],
-        m['generation'],
-        m['place'],
+        message['node'],
+        message['role'],
+        message['address'],
+        message['zone'],
+        message['inc'],
+        message['generation'],
+        message['place'],
         now,
-        old.lease if old else None,
-        m.get('pressure') or {},
-        m.get('has') or {},
-        tuple(m.get('stuck') or ()),
-        m.get('facts') or {},
-        tuple(m.get('suspects') or ()),
-        old.peers if old else (),
-        tuple(m.get('doubts') or ()),
-        m.get('reports') or {},
-        m.get('number', 0),
-        tuple((n, gen, now + timedelta(milliseconds=left)) for n, gen, left in m.get('renewed') or ()),
-        listing.from_wire(m.get('listing') or {}, now),
-        bool(m.get('by')),
-        old.plans if old else (),
-        bool(m.get('unpacks')),
-        pooled_failures.times_of(m.get('failing') or {}, now),
-        pooled_failures.times_of(m.get('serving') or {}, now),
-        m.get('outcomes') or {},
+        previous.lease_end if previous else None,
+        message.get('pressure') or {},
+        message.get('has') or {},
+        tuple(message.get('stuck') or ()),
+        message.get('facts') or {},
+        tuple(message.get('suspects') or ()),
+        previous.watched_peers if previous else (),
+        tuple(message.get('doubts') or ()),
+        message.get('reports') or {},
+        message.get('number', 0),
+        tuple(
+            (name, generation, now + timedelta(milliseconds=remaining_ms))
+            for name, generation, remaining_ms in message.get('renewed') or ()
+        ),
+        listing.from_wire(message.get('listing') or {}, now),
+        bool(message.get('by')),
+        previous.assigned_plans if previous else (),
+        bool(message.get('unpacks')),
+        pooled_failures.times_of(message.get('failing') or {}, now),
+        pooled_failures.times_of(message.get('serving') or {}, now),
+        message.get('outcomes') or {},
     )
-    if old is None or old.inc != node.inc:
-        out.append(
-            Note('node', {'name': node.name, 'role': node.role, 'address': node.address, 'inc': node.inc})
+    if previous is None or previous.incarnation != node.incarnation:
+        effects.append(
+            Note(
+                'node',
+                {'name': node.name, 'role': node.role, 'address': node.address, 'inc': node.incarnation},
+            )
         )
     state = state._replace(nodes=state.nodes.set(node.name, node))
-    state = leases.hold(state, node)
+    state = leases.record_held_slots(state, node)
     if node.role == 'store':
-        row = rows_of(state).get(f'member/{node.name}')
+        row = confirmed_rows(state).get(f'member/{node.name}')
         if row is None or (row['address'], row['zone']) != (node.address, node.zone):
-            state = feed(
+            state = step_replication(
                 state,
                 Op(
                     'core',
@@ -282,119 +323,142 @@
                     },
                 ),
                 now,
-                out,
+                effects,
             )
-    elif f'known/{node.address}' not in rows_of(state):
-        state = feed(state, Op('core', ('c', 'none'), {'op': 'know', 'address': node.address}), now, out)
+    elif f'known/{node.address}' not in confirmed_rows(state):
+        state = step_replication(
+            state, Op('core', ('c', 'none'), {'op': 'know', 'address': node.address}), now, effects
+        )
     poll = Poll(event.call, node.name, now)
-    state = state._replace(polls=state.polls + (poll,))
-    state = leases.release(state, now, out)
-    return flush_from(state, poll, now, out)
+    state = state._replace(pending_polls=state.pending_polls + (poll,))
+    state = leases.acknowledge_changes(state, now, effects)
+    return answer_new_poll(state, poll, now, effects)
 
 
-def flush(state: Core, now: datetime, out: list) -> Core:
+def answer_due_polls(state: Core, now: datetime, effects: list) -> Core:
     """Answer the polls that have news or have waited long, after the backup's confirmation."""
-    waited = [p for p in state.polls if now - p.since >= HOLD_POLL]
-    least = HOLD_POLL - HOLD_TOGETHER if waited else HOLD_POLL
-    leaders = leases.new_leaders(state, now)
+    overdue = [poll for poll in state.pending_polls if now - poll.since >= POLL_HOLD_TIME]
+    min_wait = POLL_HOLD_TIME - POLL_BATCH_WINDOW if overdue else POLL_HOLD_TIME
+    leaders = leases.stores_with_new_plans(state, now)
     due = tuple(
-        p for p in state.polls if now - p.since >= least or p.name in leaders or has_news(state, p.name, now)
+        poll
+        for poll in state.pending_polls
+        if now - poll.since >= min_wait or poll.name in leaders or has_update(state, poll.name, now)
     )
-    return confirm_polls(state, due, now, out)
+    return confirm_polls(state, due, now, effects)
 
 
-def has_news(state: Core, name: str, now: datetime) -> bool:
+def has_update(state: Core, name: str, now: datetime) -> bool:
     """Whether there is something to tell a node that polls."""
-    return leases.behind(state, state.nodes[name]) or leases.news(state, name, now)
+    return leases.is_behind(state, state.nodes[name]) or leases.allocation_changed(state, name, now)
 
 
-def flush_from(state: Core, poll: Poll, now: datetime, out: list) -> Core:
+def answer_new_poll(state: Core, poll: Poll, now: datetime, effects: list) -> Core:
     """As `flush`, where nothing has changed for any node but the one that has just polled: there is news
     for that one, or a poll has waited long, or nothing is to be done."""
-    if now - state.polls[0].since >= HOLD_POLL or leases.finds_trouble(state.nodes[poll.name]):
-        return flush(state, now, out)
-    if has_news(state, poll.name, now):
-        return confirm_polls(state, (poll,), now, out)
+    if now - state.pending_polls[0].since >= POLL_HOLD_TIME or leases.reports_trouble(state.nodes[poll.name]):
+        return answer_due_polls(state, now, effects)
+    if has_update(state, poll.name, now):
+        return confirm_polls(state, (poll,), now, effects)
     return state
 
 
-def confirm_polls(state: Core, due: tuple, now: datetime, out: list) -> Core:
+def confirm_polls(state: Core, due: tuple, now: datetime, effects: list) -> Core:
     """One confirmation by the backup for a batch of polls; their answers follow it."""
     if not due:
         return state
-    calls = {p.call for p in due}
-    state = state._replace(polls=tuple(p for p in state.polls if p.call not in calls))
-    return feed(state, Op('core', ('c', 'polls', due), {'op': 'confirm'}), now, out)
+    calls = {poll.call for poll in due}
+    state = state._replace(
+        pending_polls=tuple(poll for poll in state.pending_polls if poll.call not in calls)
+    )
+    return step_replication(state, Op('core', ('c', 'polls', due), {'op': 'confirm'}), now, effects)
 
 
-def enrol(state: Core, now: datetime, out: list) -> Core:
+def update_register(state: Core, now: datetime, effects: list) -> Core:
     """Keep the register of stores in step with the stores there are: one change at a time, and the old
     register counts until every majority of both has the new one and the leases of before are over."""
-    rows = rows_of(state)
+    rows = confirmed_rows(state)
     if not book.named(rows, 'part/'):
         return state
-    have = register_of(state)
-    if have['old']:
-        know = [n.name for n in state.nodes.values() if n.role == 'store' and n.number >= have['number']]
-        if not register.covers(know, have['now'], have['old']):
+    current = current_register(state)
+    if current['old']:
+        informed = [
+            n.name
+            for n in state.nodes.values()
+            if n.role == 'store' and n.register_number >= current['number']
+        ]
+        if not register.covers(informed, current['now'], current['old']):
             return state
-        number, since = state.settled
-        if number != have['number']:
-            return state._replace(settled=(have['number'], now))
-        if now - since <= state.granted or early(state, now):
+        number, since = state.settled_register
+        if number != current['number']:
+            return state._replace(settled_register=(current['number'], now))
+        if now - since <= state.granted_lease or old_leases_may_run(state, now):
             return state
-        want = have['now']
+        wanted = current['now']
     else:
-        want = placement.enrolled(state, now)
-        if want == have['now']:
+        wanted = placement.desired_register(state, now)
+        if wanted == current['now']:
             return state
-    command = {'op': 'enrol', 'base': have['number'], 'now': want, 'old': {} if have['old'] else have['now']}
-    return feed(state, Op('core', ('c', 'none'), command), now, out)
+    command = {
+        'op': 'enrol',
+        'base': current['number'],
+        'now': wanted,
+        'old': {} if current['old'] else current['now'],
+    }
+    return step_replication(state, Op('core', ('c', 'none'), command), now, effects)
 
 
-def complete(state: Core, now: datetime, out: list) -> Core:
+def complete_retirement(state: Core, now: datetime, effects: list) -> Core:
     """Record the retirement of a store as completed once nothing needs it any more. The partitions and the
     register are looked at again as the command runs; that its stores know the register is seen here."""
-    rows, have = rows_of(state), register_of(state)
-    waits = [n for n, r in book.named(rows, 'member/') if r['state'] == 'retiring' and not r.get('emptied')]
-    live = [n.name for n in placement.stores(state, now)]
-    if not waits or not book.whole(rows, live, copies(state)) or early(state, now):
+    rows, current = confirmed_rows(state), current_register(state)
+    retiring = [
+        n for n, r in book.named(rows, 'member/') if r['state'] == 'retiring' and not r.get('emptied')
+    ]
+    live = [n.name for n in placement.live_stores(state, now)]
+    if (
+        not retiring
+        or not book.whole(rows, live, replication_factor(state))
+        or old_leases_may_run(state, now)
+    ):
         return state
-    know = [n for n in live if state.nodes[n].number >= have['number']]
-    if have['old'] or not register.most(know, have['now'], {}):
+    informed = [n for n in live if state.nodes[n].register_number >= current['number']]
+    if current['old'] or not register.most(informed, current['now'], {}):
         return state
-    command = {'op': 'emptied', 'name': waits[0], 'live': live, 'copies': copies(state)}
-    return feed(state, Op('core', ('c', 'none'), command), now, out)
+    command = {'op': 'emptied', 'name': retiring[0], 'live': live, 'copies': replication_factor(state)}
+    return step_replication(state, Op('core', ('c', 'none'), command), now, effects)
 
 
-def done(state: Core, effect: Done, now: datetime, out: list) -> Core:
+def finish_command(state: Core, effect: Done, now: datetime, effects: list) -> Core:
     """A command of ours is on two disks, or has failed."""
-    tag, ret = effect.tag, effect.ret
+    tag, reply = effect.tag, effect.ret
     if tag[0] == 'beat':
         return state
     if tag[1] == 'none':  # it may have been a change of members, of seats or of the register
-        return flush(state, now, out)
+        return answer_due_polls(state, now, effects)
     kind, call = tag[1], tag[2]
     if kind == 'polls':
-        if 'fault' not in ret:
-            return leases.answer(state, call, ret['rows'], now, out)
-        out.extend(Return(poll.call, ret) for poll in call)
+        if 'fault' not in reply:
+            return leases.answer_polls(state, call, reply['rows'], now, effects)
+        effects.extend(Return(poll.call, reply) for poll in call)
         return state
-    if 'fault' in ret:
-        out.append(Return(call, ret))
-        out.append(Note('refused', {'cause': ret['fault'], 'text': ret.get('text', '')}))
+    if 'fault' in reply:
+        effects.append(Return(call, reply))
+        effects.append(Note('refused', {'cause': reply['fault'], 'text': reply.get('text', '')}))
         return state
     if kind == 'gen':
-        out.append(Note('generation', {'generation': ret['generation']}))
-        state = state._replace(waits=state.waits + (Wait(call, ret['generation'], ret),))
-        state = leases.release(state, now, out)
-        return flush(state, now, out)
+        effects.append(Note('generation', {'generation': reply['generation']}))
+        state = state._replace(
+            pending_changes=state.pending_changes + (PendingChange(call, reply['generation'], reply),)
+        )
+        state = leases.acknowledge_changes(state, now, effects)
+        return answer_due_polls(state, now, effects)
     if kind == 'show':
-        rows = ret['rows']
-        if rows.get('gen', 0) < state.acknowledged:
-            facts = {'shown': rows.get('gen', 0), 'acknowledged': state.acknowledged}
-            out.append(Violated('acknowledged_shown', facts))
-        ret = {
+        rows = reply['rows']
+        if rows.get('gen', 0) < state.acknowledged_generation:
+            facts = {'shown': rows.get('gen', 0), 'acknowledged': state.acknowledged_generation}
+            effects.append(Violated('acknowledged_shown', facts))
+        reply = {
             'ok': True,
             'generation': rows.get('gen', 0),
             'policy_generation': rows.get('policy_gen', 0),
@@ -404,174 +468,197 @@
             'leaving': [n for n, _ in book.named(rows, 'leaving/')],
             'status': status.status(state, now, rows),
         }
-    out.append(Return(call, ret))
-    return flush(state, now, out)
+    effects.append(Return(call, reply))
+    return answer_due_polls(state, now, effects)
 
 
-def place(state: Core, now: datetime, out: list) -> Core:
+def create_partitions(state: Core, now: datetime, effects: list) -> Core:
     """Lay the parts out once enough stores are there."""
-    rows = rows_of(state)
-    if book.named(rows, 'part/') or state.seated is None:
+    rows = confirmed_rows(state)
+    if book.named(rows, 'part/') or state.primary_since is None:
         return state
-    zones = {n.name: n.zone for n in placement.stores(state, now)}
+    zones = {n.name: n.zone for n in placement.live_stores(state, now)}
     if (
         len(set(zones.values())) < 2
-        or len(zones) < copies(state)
-        or (len(zones) < copies(state) + 1 and now - state.seated < 2 * state.lease)
+        or len(zones) < replication_factor(state)
+        or (
+            len(zones) < replication_factor(state) + 1
+            and now - state.primary_since < 2 * state.lease_duration
+        )
     ):
         return state
-    return feed(
+    return step_replication(
         state,
         Op(
             'core',
             ('c', 'none'),
-            {'op': 'found', 'parts': state.parts, 'zones': zones, 'copies': copies(state)},
+            {
+                'op': 'found',
+                'parts': state.partition_count,
+                'zones': zones,
+                'copies': replication_factor(state),
+            },
         ),
         now,
-        out,
+        effects,
     )
 
 
-def tick(state: Core, now: datetime, out: list) -> Core:
+def tick(state: Core, now: datetime, effects: list) -> Core:
     if state.fleet is None:
-        return formation.first(state, now, out)
-    state = feed(state, Tick(), now, out)
-    run, events = ballot.tick(state.run, now)
-    state = state._replace(run=run)
-    for inner in events:
-        state = feed(state, inner, now, out)
-    state = membership.stand(state, now, out)
-    state = membership.sync(state, now, out)
-    if not primary(state):
+        return formation.try_to_form(state, now, effects)
+    state = step_replication(state, Tick(), now, effects)
+    campaign, events = ballot.tick(state.campaign, now)
+    state = state._replace(campaign=campaign)
+    for group_event in events:
+        state = step_replication(state, group_event, now, effects)
+    state = membership.start_campaign(state, now, effects)
+    state = membership.poll_cores(state, now, effects)
+    if not is_primary(state):
         return state
-    state = membership.change(state, now, out)
-    if state.allot_at is None or now - state.allot_at >= ALLOT_EVERY:
-        state = leases.slots(state, now)
-    state = placement.mourn(forget(state, now), now, out)
-    state = place(state, now, out)
-    state = enrol(state, now, out)
-    state = complete(state, now, out)
-    state = greet(state, now, out)
-    state = leases.release(state, now, out)
-    return flush(state, now, out)
-
-
-def forget(state: Core, now: datetime) -> Core:
+    state = membership.advance_voter_change(state, now, effects)
+    if state.allocated_at is None or now - state.allocated_at >= ALLOCATION_INTERVAL:
+        state = leases.reallocate_slots(state, now)
+    state = placement.note_store_changes(remove_expired_nodes(state, now), now, effects)
+    state = create_partitions(state, now, effects)
+    state = update_register(state, now, effects)
+    state = complete_retirement(state, now, effects)
+    state = send_hello(state, now, effects)
+    state = leases.acknowledge_changes(state, now, effects)
+    return answer_due_polls(state, now, effects)
+
+
+def remove_expired_nodes(state: Core, now: datetime) -> Core:
     """Routing nodes that have been silent for long, with no lease left: each start is a node of its own,
     and what it was is of no more use."""
-    old = [
+    expired = [
         n
         for n in state.nodes.values()
-        if n.role == 'route' and now - n.heard > FORGET and not (n.lease and n.lease > now)
+        if n.role == 'route' and now - n.last_heard > NODE_EXPIRY and not (n.lease_end and n.lease_end > now)
     ]
-    nodes, held = state.nodes, state.held
-    for node in old:
+    nodes, held = state.nodes, state.held_slots
+    for node in expired:
         nodes = nodes.delete(node.name)
         if node.name in held:
             held = held.delete(node.name)
-    return state._replace(nodes=nodes, held=held) if old else state
+    return state._replace(nodes=nodes, held_slots=held) if expired else state
 
 
-def greet(state: Core, now: datetime, out: list) -> Core:
+def send_hello(state: Core, now: datetime, effects: list) -> Core:
     """Tell the addresses that are known and silent where the core is: a process that was started again
     with the seeds of its first day may have no other way to learn it."""
-    if state.greeted is not None and now - state.greeted < GREET_EVERY:
+    if state.hello_sent_at is not None and now - state.hello_sent_at < HELLO_INTERVAL:
         return state
-    rows = rows_of(state)
-    near = {n.address for n in state.nodes.values() if now - n.heard <= STORE_SILENT}
-    places = {a for a, _ in book.named(rows, 'known/')} | {a for _, a in crew_of(state) if a != state.address}
-    places |= {r['address'] for _, r in book.named(rows, 'member/') if r['state'] != 'replaced'}
-    line = sorted(places - near)
-    turn = int(now.timestamp()) * GREET_MOST % max(1, len(line))
+    rows = confirmed_rows(state)
+    reachable = {n.address for n in state.nodes.values() if now - n.last_heard <= STORE_TIMEOUT}
+    addresses = {a for a, _ in book.named(rows, 'known/')} | {
+        a for _, a in current_voters(state) if a != state.address
+    }
+    addresses |= {r['address'] for _, r in book.named(rows, 'member/') if r['state'] != 'replaced'}
+    silent = sorted(addresses - reachable)
+    offset = int(now.timestamp()) * MAX_HELLOS % max(1, len(silent))
     message = {
         'k': 'greet',
         'fleet': state.fleet['id'],
-        'core': [a for _, a in crew_of(state)],
-        'register': register_of(state),
+        'core': [a for _, a in current_voters(state)],
+        'register': current_register(state),
     }
-    for address in (line[turn:] + line[:turn])[:GREET_MOST]:
-        out.append(Ask(address, message, ('f', 'greet', address)))
-    return state._replace(greeted=now)
+    for address in (silent[offset:] + silent[:offset])[:MAX_HELLOS]:
+        effects.append(Ask(address, message, ('f', 'greet', address)))
+    return state._replace(hello_sent_at=now)
 
 
-def learn(state: Core, fleet: dict, seat: Any, call: Any, now: datetime, out: list) -> Core:
+def learn_fleet(state: Core, fleet: dict, replica_set: Any, call: Any, now: datetime, effects: list) -> Core:
     """Take a newer crew, and a newer seat, that are known to be in force."""
     if state.fleet is not None and fleet['id'] == state.fleet['id']:
         if fleet['epoch'] > state.fleet['epoch']:
-            out.append(Write((Put('', 'fleet', fleet),), ('none',)))
-            if state.me in dict(crew_of(state)) and state.me not in dict(ballot.tuples(fleet['witnesses'])):
-                out.append(
+            effects.append(Write((Put('', 'fleet', fleet),), ('none',)))
+            if state.me in dict(current_voters(state)) and state.me not in dict(
+                ballot.tuples(fleet['witnesses'])
+            ):
+                effects.append(
                     Note('swapped_out', {'epoch': fleet['epoch'], 'cause': "another took this one's place"})
                 )
-            state = state._replace(fleet=fleet, maybe=None)
-        if seat:
-            state = feed(state, Grant('core', Seat(*seat)), now, out)
+            state = state._replace(fleet=fleet, possible_voters=None)
+        if replica_set:
+            state = step_replication(state, Grant('core', Seat(*replica_set)), now, effects)
     if call is not None:
-        out.append(Return(call, {'ok': True}))
+        effects.append(Return(call, {'ok': True}))
     return state
 
 
-def formed(state: Core, event: Heard, now: datetime, out: list) -> Core:
+def handle_core_reply(state: Core, event: Heard, now: datetime, effects: list) -> Core:
     """The returns of hails and of the word that a fleet is formed."""
-    ret = event.ret
-    if ret is None or 'fault' in ret:
-        if event.tag[1] == 'admit' and ret and ret['more'].get('at'):
-            membership.admit(state, ret['more']['at'], out)
+    reply = event.ret
+    if reply is None or 'fault' in reply:
+        if event.tag[1] == 'admit' and reply and reply['more'].get('at'):
+            membership.request_admission(state, reply['more']['at'], effects)
         return state
     if event.tag[1] == 'sync':
-        if ret.get('me') == event.tag[2]:
-            state = state._replace(heard=state.heard.set(event.tag[2], now))
-        return learn(state, ret['crew'], ret['sure'], None, now, out) if ret.get('crew') else state
+        if reply.get('me') == event.tag[2]:
+            state = state._replace(last_replies=state.last_replies.set(event.tag[2], now))
+        return (
+            learn_fleet(state, reply['crew'], reply['sure'], None, now, effects)
+            if reply.get('crew')
+            else state
+        )
     if event.tag[1] == 'invite':
-        return membership.invited(state, now, out) if ret['ok'] else state
+        return membership.start_change_election(state, now, effects) if reply['ok'] else state
     if state.fleet is not None or event.tag[1] == 'admit':
         return state
     if event.tag[1] == 'hail':
-        if ret['fleet']:
-            membership.admit(state, event.tag[2], out)
-            if not state.hails.get('told'):
-                out.append(
+        if reply['fleet']:
+            membership.request_admission(state, event.tag[2], effects)
+            if not state.formation_replies.get('told'):
+                effects.append(
                     Note(
                         'newcomer',
-                        {'fleet': ret['fleet'], 'cause': 'others have a fleet, this folder has none'},
+                        {'fleet': reply['fleet'], 'cause': 'others have a fleet, this folder has none'},
                     )
                 )
-            return state._replace(hails=state.hails.set('told', True))
-        state = state._replace(hails=state.hails.set(event.tag[2], (ret['id'], ret['zone'])))
+            return state._replace(formation_replies=state.formation_replies.set('told', True))
+        state = state._replace(
+            formation_replies=state.formation_replies.set(event.tag[2], (reply['id'], reply['zone']))
+        )
         others = [s for s in state.seeds if s != state.address]
-        if state.hails.get('told') or state.address != min(state.seeds) or state.forming:
+        if state.formation_replies.get('told') or state.address != min(state.seeds) or state.forming_fleet:
             return state
-        if not all(s in state.hails for s in others):
+        if not all(s in state.formation_replies for s in others):
             return state
-        names = [(state.me, state.address)] + [(state.hails[s][0], s) for s in others]
-        zones = {state.me: state.zone, **{state.hails[s][0]: state.hails[s][1] for s in others}}
-        seat = [1, 0, *apart('core', zones, [state.me])[: copies(state)]]
-        fleet = {'id': f'f-{state.me}', 'witnesses': names, 'epoch': 1, 'seat': seat}
-        out.append(Write((Put('', 'forming', fleet),), ('f', 'forming', fleet)))
-        return state._replace(forming=fleet)
-    if ret['ok'] and state.forming:
-        state = state._replace(hails=state.hails.set(('ok', event.tag[2]), True))
-        if all(('ok', n) in state.hails for n, _ in state.forming['witnesses'] if n != state.me):
-            out.append(
+        names = [(state.me, state.address)] + [(state.formation_replies[s][0], s) for s in others]
+        zones = {
+            state.me: state.zone,
+            **{state.formation_replies[s][0]: state.formation_replies[s][1] for s in others},
+        }
+        replica_set = [1, 0, *apart('core', zones, [state.me])[: replication_factor(state)]]
+        fleet = {'id': f'f-{state.me}', 'witnesses': names, 'epoch': 1, 'seat': replica_set}
+        effects.append(Write((Put('', 'forming', fleet),), ('f', 'forming', fleet)))
+        return state._replace(forming_fleet=fleet)
+    if reply['ok'] and state.forming_fleet:
+        state = state._replace(formation_replies=state.formation_replies.set(('ok', event.tag[2]), True))
+        if all(
+            ('ok', n) in state.formation_replies for n, _ in state.forming_fleet['witnesses'] if n != state.me
+        ):
+            effects.append(
                 Write(
-                    (Put('', 'fleet', state.forming), Put('', 'forming', None)),
-                    ('f', 'formed', state.forming, None),
+                    (Put('', 'fleet', state.forming_fleet), Put('', 'forming', None)),
+                    ('f', 'formed', state.forming_fleet, None),
                 )
             )
     return state
 
 
-def wrote(state: Core, event: Wrote, now: datetime, out: list) -> Core:
+def finish_fleet_write(state: Core, event: Wrote, now: datetime, effects: list) -> Core:
     if event.tag[1] == 'forming':
         return state
     fleet, call = event.tag[2], event.tag[3]
     if call is not None:
-        out.append(Return(call, {'ok': True}))
+        effects.append(Return(call, {'ok': True}))
     if state.fleet is not None:
         return state
-    out.append(Note('formed', {'fleet': fleet['id']}))
-    seat = Seat(*fleet['seat'])
-    state = state._replace(fleet=fleet, forming=None, run=ballot.Campaign(seen=1))
-    if seat.holds(state.me) and seat.epoch == 1:
-        state = feed(state, Grant('core', seat), now, out)
+    effects.append(Note('formed', {'fleet': fleet['id']}))
+    replica_set = Seat(*fleet['seat'])
+    state = state._replace(fleet=fleet, forming_fleet=None, campaign=ballot.Campaign(seen=1))
+    if replica_set.holds(state.me) and replica_set.epoch == 1:
+        state = step_replication(state, Grant('core', replica_set), now, effects)
     return state
--- a/src/quillstall/controlplane/formation.py
+++ b/src/quillstall/controlplane/formation.py
@@ -7,27 +7,29 @@
 from quillstall.runtime.effect import Ask, Return, Told, Write
 
 
-def first(state: Core, now: datetime, out: list) -> Core:
-    if state.next_hail and now < state.next_hail:
+def try_to_form(state: Core, now: datetime, effects: list) -> Core:
+    if state.next_join_request and now < state.next_join_request:
         return state
-    if not state.founding and not state.hails.get('told'):
-        state = state._replace(hails=state.hails.set('told', True))  # wait to be let in, never begin anew
-    state = state._replace(next_hail=now + timedelta(milliseconds=300))
-    if state.forming:
-        for name, address in state.forming['witnesses']:
+    if not state.may_found and not state.formation_replies.get('told'):
+        state = state._replace(
+            formation_replies=state.formation_replies.set('told', True)
+        )  # wait to be let in, never begin anew
+    state = state._replace(next_join_request=now + timedelta(milliseconds=300))
+    if state.forming_fleet:
+        for name, address in state.forming_fleet['witnesses']:
             if name != state.me:
-                out.append(Ask(address, {'k': 'form', 'fleet': state.forming}, ('f', 'form', name)))
+                effects.append(Ask(address, {'k': 'form', 'fleet': state.forming_fleet}, ('f', 'form', name)))
         return state
     for seed in state.seeds:
         if seed != state.address:
-            out.append(Ask(seed, {'k': 'hail'}, ('f', 'hail', seed)))
+            effects.append(Ask(seed, {'k': 'hail'}, ('f', 'hail', seed)))
     return state
 
 
-def hail(state: Core, event: Told, now: datetime, out: list) -> Core:
-    m = event.message
-    if m['k'] == 'hail':
-        out.append(
+def handle_formation_request(state: Core, event: Told, now: datetime, effects: list) -> Core:
+    message = event.message
+    if message['k'] == 'hail':
+        effects.append(
             Return(
                 event.call,
                 {
@@ -40,11 +42,11 @@
             )
         )
         return state
-    fleet = m['fleet']
+    fleet = message['fleet']
     names = [n for n, _ in fleet['witnesses']]
     if state.fleet is not None or state.me not in names:
         same = state.fleet is not None and state.fleet['id'] == fleet['id']
-        out.append(Return(event.call, {'ok': same}))
+        effects.append(Return(event.call, {'ok': same}))
         return state
-    out.append(Write((Put('', 'fleet', fleet),), ('f', 'formed', fleet, event.call)))
+    effects.append(Write((Put('', 'fleet', fleet),), ('f', 'formed', fleet, event.call)))
     return state
--- a/src/quillstall/controlplane/membership.py
+++ b/src/quillstall/controlplane/membership.py
@@ -4,13 +4,13 @@
 
 from quillstall.controlplane.core_state import (
     Core,
-    Swap,
-    copies,
-    copy_of,
-    crew_next,
-    crew_of,
-    crews,
-    primary,
+    VoterChange,
+    core_copy,
+    current_voters,
+    is_primary,
+    next_voters,
+    replication_factor,
+    voter_sets,
 )
 from quillstall.replication import ballot
 from quillstall.replication.group import Seat
@@ -18,74 +18,86 @@
 from quillstall.runtime.effect import Ask, Note, Propose, Return, Told, Violated, Write
 from quillstall.runtime.errors import Fault
 
-SILENT = timedelta(milliseconds=1200)  # between the core's two seated members
-GONE_MOST = 50
-HEARD_LATELY = timedelta(seconds=2)  # a core that answered so lately may be given a copy
-ALL_ASKED = timedelta(milliseconds=1500)  # by then a new primary has asked every core, and those up answered
-CORE_GONE = 3  # times as long silent as a store, a core is replaced by one that waits
+MEMBER_TIMEOUT = timedelta(milliseconds=1200)  # between the core's two seated members
+MAX_REMOVED_VOTERS = 50
+RECENT_REPLY = timedelta(seconds=2)  # a core that answered so lately may be given a copy
+CORES_POLLED_WITHIN = timedelta(
+    milliseconds=1500
+)  # by then a new primary has asked every core, and those up answered
+CORE_TIMEOUT_FACTOR = 3  # times as long silent as a store, a core is replaced by one that waits
 
 
-def seated_next(state: Core, yes: tuple) -> tuple | None:
+def next_members(state: Core, granted_by: tuple) -> tuple | None:
     """Whom a candidate would sit with, of those whose ballots came: the others of the old seat that are
     there, and one from outside it. After a loss the old partners alone are tried, by turns.
 
     There are never fewer members than copies are needed: where two or more are silent, one of them stays a
     member until the next round, and nothing is acknowledged until then."""
-    copy = copy_of(state)
+    copy = core_copy(state)
     if copy is None or copy.seat is None:
         return None
-    wanted = copies(state)
-    old = [n for n in copy.seat.others(state.me) if n in yes and n != copy.seat.primary]
-    back = [n for n in copy.seat.others(state.me) if n in yes and n == copy.seat.primary]
-    outside = [n for n, _ in crew_next(state) if not copy.seat.holds(n) and n in yes]
-    if state.run.losses % 3 == 2 or not outside:
-        others = (old + back)[: wanted - 1]
+    wanted = replication_factor(state)
+    old_backups = [n for n in copy.seat.others(state.me) if n in granted_by and n != copy.seat.primary]
+    old_primary = [n for n in copy.seat.others(state.me) if n in granted_by and n == copy.seat.primary]
+    non_members = [n for n, _ in next_voters(state) if not copy.seat.holds(n) and n in granted_by]
+    if state.campaign.losses % 3 == 2 or not non_members:
+        others = (old_backups + old_primary)[: wanted - 1]
     else:
-        others = [*old[: wanted - 2], outside[0]]
+        others = [*old_backups[: wanted - 2], non_members[0]]
     if not others:
         return None
     silent = [n for n in copy.seat.others(state.me) if n not in others]
     return (state.me, *others, *silent[: wanted - 1 - len(others)])
 
 
-def propose(state: Core, effect: Propose, now: datetime, out: list) -> Core:
-    run, more = ballot.propose(state.run, effect.seat, crews(state), state.run.crew or crew_next(state), now)
-    out.extend(more)
-    return state._replace(run=run)
+def propose_replica_set(state: Core, effect: Propose, now: datetime, effects: list) -> Core:
+    campaign, ballot_effects = ballot.propose(
+        state.campaign, effect.seat, voter_sets(state), state.campaign.crew or next_voters(state), now
+    )
+    effects.extend(ballot_effects)
+    return state._replace(campaign=campaign)
 
 
-def won(state: Core, now: datetime, out: list) -> Core:
+def finish_election(state: Core, now: datetime, effects: list) -> Core:
     """The witnesses have accepted: put the crew in force and tell everyone."""
-    old = crew_of(state)
-    seat = Seat(*state.run.seat)
-    before = copy_of(state)
-    if before and before.seat and len(seat.members) < min(copies(state), len(before.seat.members)):
-        facts = {'part': 'core', 'seat': list(seat), 'before': list(before.seat)}
-        out.append(Violated('enough_members', facts))
-    swap = state.swap
-    gone = [list(w) for w in old if w[0] not in dict(state.run.crew)]
+    old_voters = current_voters(state)
+    replica_set = Seat(*state.campaign.seat)
+    copy = core_copy(state)
+    if (
+        copy
+        and copy.seat
+        and len(replica_set.members) < min(replication_factor(state), len(copy.seat.members))
+    ):
+        facts = {'part': 'core', 'seat': list(replica_set), 'before': list(copy.seat)}
+        effects.append(Violated('enough_members', facts))
+    change = state.voter_change
+    removed = [list(voter) for voter in old_voters if voter[0] not in dict(state.campaign.crew)]
     fleet = {
         **state.fleet,
-        'witnesses': state.run.crew,
-        'epoch': seat.epoch,
-        'seat': list(seat),
-        'gone': (list(state.fleet.get('gone', ())) + gone)[-GONE_MOST:],
+        'witnesses': state.campaign.crew,
+        'epoch': replica_set.epoch,
+        'seat': list(replica_set),
+        'gone': (list(state.fleet.get('gone', ())) + removed)[-MAX_REMOVED_VOTERS:],
     }
-    state = state._replace(fleet=fleet, maybe=None, run=ballot.Campaign(seen=state.run.seen))
-    out.append(Write((Put('', 'fleet', fleet),), ('none',)))
-    for name, address in {**dict(old), **dict(fleet['witnesses'])}.items():
+    state = state._replace(
+        fleet=fleet, possible_voters=None, campaign=ballot.Campaign(seen=state.campaign.seen)
+    )
+    effects.append(Write((Put('', 'fleet', fleet),), ('none',)))
+    for name, address in {**dict(old_voters), **dict(fleet['witnesses'])}.items():
         if name != state.me:
-            out.append(Ask(address, {'k': 'fleet', 'fleet': fleet, 'seat': list(seat)}, ('none',)))
-    if swap and swap.new in dict(fleet['witnesses']):
-        out.append(Note('crew', {'out': swap.old, 'in': swap.new, 'epoch': seat.epoch}))
-        if swap.call is not None:
-            out.append(Return(swap.call, {'ok': True, 'crew': [list(w) for w in fleet['witnesses']]}))
-        state = over(state)
+            effects.append(Ask(address, {'k': 'fleet', 'fleet': fleet, 'seat': list(replica_set)}, ('none',)))
+    if change and change.added in dict(fleet['witnesses']):
+        effects.append(Note('crew', {'out': change.removed, 'in': change.added, 'epoch': replica_set.epoch}))
+        if change.call is not None:
+            effects.append(
+                Return(change.call, {'ok': True, 'crew': [list(voter) for voter in fleet['witnesses']]})
+            )
+        state = end_voter_change(state)
     return state
 
 
-def admit(state: Core, address: str, out: list) -> None:
-    out.append(
+def request_admission(state: Core, address: str, effects: list) -> None:
+    effects.append(
         Ask(
             address,
             {'k': 'admit', 'member': state.me, 'address': state.address, 'zone': state.zone},
@@ -94,224 +106,259 @@
     )
 
 
-def sync(state: Core, now: datetime, out: list) -> Core:
+def poll_cores(state: Core, now: datetime, effects: list) -> Core:
     """Ask another core, in turn, what it knows of the crew and the seat."""
-    if state.synced is not None and now - state.synced < timedelta(seconds=1):
+    if state.cores_polled_at is not None and now - state.cores_polled_at < timedelta(seconds=1):
         return state
-    others = [(n, a) for n, a in crew_next(state) if n != state.me]
-    turn = int(now.timestamp()) % len(others)
-    for name, address in others if primary(state) else others[turn : turn + 1]:
-        out.append(Ask(address, {'k': 'who'}, ('f', 'sync', name)))
-    address = others[turn][1]
-    if state.me not in dict(crew_of(state)):
-        admit(state, address, out)
-    return state._replace(synced=now)
+    others = [(n, a) for n, a in next_voters(state) if n != state.me]
+    offset = int(now.timestamp()) % len(others)
+    for name, address in others if is_primary(state) else others[offset : offset + 1]:
+        effects.append(Ask(address, {'k': 'who'}, ('f', 'sync', name)))
+    address = others[offset][1]
+    if state.me not in dict(current_voters(state)):
+        request_admission(state, address, effects)
+    return state._replace(cores_polled_at=now)
 
 
-def stand(state: Core, now: datetime, out: list) -> Core:
+def start_campaign(state: Core, now: datetime, effects: list) -> Core:
     """Stand for the primacy if the other seated member has been silent."""
-    copy = copy_of(state)
+    copy = core_copy(state)
     if copy is None or copy.seat is None or not copy.full or not copy.seat.holds(state.me):
         return state
-    if state.run.stage != 'idle' or copy.heard is None or state.me not in dict(crew_next(state)):
+    if state.campaign.stage != 'idle' or copy.heard is None or state.me not in dict(next_voters(state)):
         return state
-    dice = (state.dice * 1103515245 + 12345) % 2**31
-    rest = timedelta(milliseconds=200 + dice % 600)
-    state = state._replace(dice=dice)
-    if now - copy.heard < max(SILENT, state.silent) or (state.run.rest and now - state.run.rest < rest):
+    rng_state = (state.rng_state * 1103515245 + 12345) % 2**31
+    pause = timedelta(milliseconds=200 + rng_state % 600)
+    state = state._replace(rng_state=rng_state)
+    if now - copy.heard < max(MEMBER_TIMEOUT, state.store_timeout) or (
+        state.campaign.rest and now - state.campaign.rest < pause
+    ):
         return state
-    run, effects = ballot.begin(
-        state.run,
+    campaign, ballot_effects = ballot.begin(
+        state.campaign,
         state.me,
-        crews(state),
+        voter_sets(state),
         now,
         f'{", ".join(copy.seat.others(state.me))} silent since {copy.heard.isoformat()}',
     )
-    out.extend(effects)
-    return state._replace(run=run)
+    effects.extend(ballot_effects)
+    return state._replace(campaign=campaign)
 
 
-def swapping(state: Core, event: Told, now: datetime, out: list) -> Core:
+def request_voter_change(state: Core, event: Told, now: datetime, effects: list) -> Core:
     """An operator's word that a core machine is to be swapped for another."""
-    m, crew = event.message, crew_of(state)
-    old = next((n for n, a in crew if m['name'] in (n, a)), None)
-    by = m.get('by')
-    if by in [a for _, a in crew] and any(m['name'] in pair for pair in state.fleet.get('gone', ())):
-        out.append(Return(event.call, {'ok': True, 'crew': [list(w) for w in crew]}))
+    message, voters = event.message, current_voters(state)
+    removed = next((n for n, a in voters if message['name'] in (n, a)), None)
+    replacement = message.get('by')
+    if replacement in [a for _, a in voters] and any(
+        message['name'] in pair for pair in state.fleet.get('gone', ())
+    ):
+        effects.append(Return(event.call, {'ok': True, 'crew': [list(w) for w in voters]}))
         return state
     fault = None
-    if old is None:
-        fault = Fault('unknown_name', f'no core {m["name"]!r}', (('name', 'is no member of the core'),))
-    elif by not in state.guests:
+    if removed is None:
+        fault = Fault('unknown_name', f'no core {message["name"]!r}', (('name', 'is no member of the core'),))
+    elif replacement not in state.waiting_cores:
         fault = Fault(
-            'refused', f'no new core waits at {by}; start one there first', (('by', 'is not waiting'),)
+            'refused',
+            f'no new core waits at {replacement}; start one there first',
+            (('by', 'is not waiting'),),
         )
-    elif state.swap is not None:
+    elif state.voter_change is not None:
         fault = Fault('refused', 'another change of the core runs')
     if fault:
-        out.append(Return(event.call, fault.pack()))
+        effects.append(Return(event.call, fault.pack()))
         return state
-    out.append(Note('swap', {'out': old, 'in': state.guests[by][0], 'cause': 'operator'}))
-    return state._replace(swap=Swap(event.call, old, state.guests[by][0], by, now))
+    effects.append(
+        Note('swap', {'out': removed, 'in': state.waiting_cores[replacement][0], 'cause': 'operator'})
+    )
+    return state._replace(
+        voter_change=VoterChange(event.call, removed, state.waiting_cores[replacement][0], replacement, now)
+    )
 
 
-def change(state: Core, now: datetime, out: list) -> Core:
+def advance_voter_change(state: Core, now: datetime, effects: list) -> Core:
     """Move a change of the crew on: invite the new one, then hold ballots under both crews."""
-    swap = state.swap
-    if swap is None:
-        crew = crew_of(state)
-        for name, address in crew:
-            guest = state.guests.get(address)
-            if guest and guest[0] != name:  # the same address with an empty folder: its disk was lost
-                out.append(Note('swap', {'out': name, 'in': guest[0], 'cause': 'its data folder is new'}))
-                return state._replace(swap=Swap(None, name, guest[0], address, now))
-        free = [
+    change = state.voter_change
+    if change is None:
+        voters = current_voters(state)
+        for name, address in voters:
+            candidate = state.waiting_cores.get(address)
+            if candidate and candidate[0] != name:  # the same address with an empty folder: its disk was lost
+                effects.append(
+                    Note('swap', {'out': name, 'in': candidate[0], 'cause': 'its data folder is new'})
+                )
+                return state._replace(voter_change=VoterChange(None, name, candidate[0], address, now))
+        available = [
             (a, g)
-            for a, g in sorted(state.guests.items())
-            if a not in dict(crew).values() and g[0] not in dict(crew)
+            for a, g in sorted(state.waiting_cores.items())
+            if a not in dict(voters).values() and g[0] not in dict(voters)
         ]
-        if free and len(crew) < 2 * state.losses + 1:
-            address, guest = free[0]
-            out.append(
+        if available and len(voters) < 2 * state.tolerated_losses + 1:
+            address, candidate = available[0]
+            effects.append(
                 Note(
                     'swap',
-                    {'out': None, 'in': guest[0], 'cause': 'too few witnesses for the losses to be borne'},
+                    {
+                        'out': None,
+                        'in': candidate[0],
+                        'cause': 'too few witnesses for the losses to be borne',
+                    },
                 )
             )
-            return state._replace(swap=Swap(None, None, guest[0], address, now))
-        gone = [
+            return state._replace(voter_change=VoterChange(None, None, candidate[0], address, now))
+        silent = [
             n
-            for n, _ in crew
-            if n != state.me and now - state.heard.get(n, state.seated) > state.silent * CORE_GONE
+            for n, _ in voters
+            if n != state.me
+            and now - state.last_replies.get(n, state.primary_since)
+            > state.store_timeout * CORE_TIMEOUT_FACTOR
         ]
-        if free and gone and state.lone and now - state.seated > ALL_ASKED:
-            address, guest = free[0]
-            out.append(
+        if available and silent and state.degraded_mode and now - state.primary_since > CORES_POLLED_WITHIN:
+            address, candidate = available[0]
+            effects.append(
                 Note(
                     'swap',
                     {
-                        'out': gone[0],
-                        'in': guest[0],
+                        'out': silent[0],
+                        'in': candidate[0],
                         'cause': 'it has been silent for long, and another waits',
                     },
                 )
             )
-            return state._replace(swap=Swap(None, gone[0], guest[0], address, now))
-        return widen(state, now, out)
-    if now - swap.since > timedelta(seconds=6):
-        if swap.call is not None:
-            out.append(
-                Return(swap.call, Fault('refused', 'no majority of the old and the new core in time').pack())
+            return state._replace(voter_change=VoterChange(None, silent[0], candidate[0], address, now))
+        return restore_copy_count(state, now, effects)
+    if now - change.since > timedelta(seconds=6):
+        if change.call is not None:
+            effects.append(
+                Return(
+                    change.call, Fault('refused', 'no majority of the old and the new core in time').pack()
+                )
             )
-        return over(state)
-    if state.run.stage != 'idle' or (swap.tried and now - swap.tried < timedelta(milliseconds=800)):
+        return end_voter_change(state)
+    if state.campaign.stage != 'idle' or (
+        change.last_attempt and now - change.last_attempt < timedelta(milliseconds=800)
+    ):
         return state
-    fleet = {**state.fleet, 'witnesses': crew_to(state, swap)}
-    out.append(Ask(swap.address, {'k': 'form', 'fleet': fleet}, ('f', 'invite', swap.new)))
-    return state._replace(swap=swap._replace(tried=now))
+    fleet = {**state.fleet, 'witnesses': changed_voters(state, change)}
+    effects.append(Ask(change.address, {'k': 'form', 'fleet': fleet}, ('f', 'invite', change.added)))
+    return state._replace(voter_change=change._replace(last_attempt=now))
 
 
-def widen(state: Core, now: datetime, out: list) -> Core:
+def restore_copy_count(state: Core, now: datetime, effects: list) -> Core:
     """Bring another copy into the core's seat where it has fewer than it should."""
-    copy = copy_of(state)
+    copy = core_copy(state)
     if (
-        len(copy.seat.members) >= copies(state)
-        or state.run.stage != 'idle'
-        or (state.run.rest and now - state.run.rest < timedelta(milliseconds=800))
+        len(copy.seat.members) >= replication_factor(state)
+        or state.campaign.stage != 'idle'
+        or (state.campaign.rest and now - state.campaign.rest < timedelta(milliseconds=800))
     ):
         return state
-    order = [
+    candidates = [
         n
-        for n, _ in crew_of(state)
+        for n, _ in current_voters(state)
         if not copy.seat.holds(n)
-        and n in state.heard
-        and now - state.heard[n] < 2 * len(crew_of(state)) * timedelta(seconds=1)
+        and n in state.last_replies
+        and now - state.last_replies[n] < 2 * len(current_voters(state)) * timedelta(seconds=1)
     ]
-    if not order or now - state.seated < SILENT:
+    if not candidates or now - state.primary_since < MEMBER_TIMEOUT:
         return state
-    run, effects = ballot.begin(
-        state.run,
+    campaign, ballot_effects = ballot.begin(
+        state.campaign,
         state.me,
-        crews(state),
+        voter_sets(state),
         now,
         f'{len(copy.seat.members)} copies of the core',
         None,
-        (*copy.seat.members, order[0]),
+        (*copy.seat.members, candidates[0]),
     )
-    out.extend(effects)
-    return state._replace(run=run)
+    effects.extend(ballot_effects)
+    return state._replace(campaign=campaign)
 
 
-def hand_over(state: Core, event: Told, now: datetime, out: list) -> Core:
+def hand_over(state: Core, event: Told, now: datetime, effects: list) -> Core:
     """A core is about to stop: bring its copy, and its vote if another core waits for one, to others first.
     The return says whether it is worth waiting for; it asks again until it holds nothing."""
-    name, copy = event.message['name'], copy_of(state)
-    voter, waits = name in dict(crew_of(state)), sorted(state.guests.items())
-    busy = state.run.stage != 'idle' or state.swap is not None
-    if voter and waits and not busy:
-        address, guest = waits[0]
-        out.append(Note('swap', {'out': name, 'in': guest[0], 'cause': 'it was told to stop'}))
-        state = state._replace(swap=Swap(None, name, guest[0], address, now))
-    elif voter and copy.seat.holds(name) and not busy:
+    name, copy = event.message['name'], core_copy(state)
+    voter, waiting = name in dict(current_voters(state)), sorted(state.waiting_cores.items())
+    change_running = state.campaign.stage != 'idle' or state.voter_change is not None
+    if voter and waiting and not change_running:
+        address, candidate = waiting[0]
+        effects.append(Note('swap', {'out': name, 'in': candidate[0], 'cause': 'it was told to stop'}))
+        state = state._replace(voter_change=VoterChange(None, name, candidate[0], address, now))
+    elif voter and copy.seat.holds(name) and not change_running:
         members = members_without(state, name, now)
         if members is None:
-            out.append(Return(event.call, {'ok': True, 'wait': False}))
+            effects.append(Return(event.call, {'ok': True, 'wait': False}))
             return state
-        run, effects = ballot.begin(
-            state.run, state.me, crews(state), now, f'{name} was told to stop', None, members
+        campaign, ballot_effects = ballot.begin(
+            state.campaign, state.me, voter_sets(state), now, f'{name} was told to stop', None, members
         )
-        out.extend(effects)
-        state = state._replace(run=run)
-    wait = voter and (bool(waits) or copy.seat.holds(name))
-    out.append(Return(event.call, {'ok': True, 'wait': wait}))
+        effects.extend(ballot_effects)
+        state = state._replace(campaign=campaign)
+    wait = voter and (bool(waiting) or copy.seat.holds(name))
+    effects.append(Return(event.call, {'ok': True, 'wait': wait}))
     return state
 
 
 def members_without(state: Core, name: str, now: datetime) -> tuple | None:
     """As many members as now without one of them, the primary first; None if too few others are there."""
-    copy = copy_of(state)
-    here = [n for n in state.heard if now - state.heard[n] < HEARD_LATELY and n != name]
-    stay = [n for n in copy.seat.members if n != name and (n == state.me or n in here)]
-    others = [n for n, _ in crew_of(state) if n in here and not copy.seat.holds(n)]
-    members = (*stay, *others)[: len(copy.seat.members)]
-    return members if stay and len(members) == len(copy.seat.members) else None
+    copy = core_copy(state)
+    responsive = [n for n in state.last_replies if now - state.last_replies[n] < RECENT_REPLY and n != name]
+    remaining = [n for n in copy.seat.members if n != name and (n == state.me or n in responsive)]
+    others = [n for n, _ in current_voters(state) if n in responsive and not copy.seat.holds(n)]
+    members = (*remaining, *others)[: len(copy.seat.members)]
+    return members if remaining and len(members) == len(copy.seat.members) else None
 
 
-def over(state: Core) -> Core:
+def end_voter_change(state: Core) -> Core:
     """The change of the crew has ended, well or not; its guest asks again if it has to."""
-    address = state.swap.address
+    address = state.voter_change.address
     return state._replace(
-        swap=None, guests=state.guests.delete(address) if address in state.guests else state.guests
+        voter_change=None,
+        waiting_cores=state.waiting_cores.delete(address)
+        if address in state.waiting_cores
+        else state.waiting_cores,
     )
 
 
-def crew_to(state: Core, swap: Swap) -> tuple:
-    if swap.old is None:
-        return crew_of(state) + ((swap.new, swap.address),)
-    return tuple((swap.new, swap.address) if n == swap.old else (n, a) for n, a in crew_of(state))
+def changed_voters(state: Core, change: VoterChange) -> tuple:
+    if change.removed is None:
+        return current_voters(state) + ((change.added, change.address),)
+    return tuple(
+        (change.added, change.address) if n == change.removed else (n, a) for n, a in current_voters(state)
+    )
 
 
-def invited(state: Core, now: datetime, out: list) -> Core:
+def start_change_election(state: Core, now: datetime, effects: list) -> Core:
     """The new one knows the fleet: hold the ballots."""
-    swap, copy = state.swap, copy_of(state)
-    if swap is None or state.run.stage != 'idle' or not primary(state):
+    change, copy = state.voter_change, core_copy(state)
+    if change is None or state.campaign.stage != 'idle' or not is_primary(state):
         return state
-    crew = crew_to(state, swap)
-    rest = [n for n, _ in crew if n != swap.old and not copy.seat.holds(n)]
-    members = tuple(n for n in copy.seat.members if n != swap.old)
+    voters = changed_voters(state, change)
+    others = [n for n, _ in voters if n != change.removed and not copy.seat.holds(n)]
+    members = tuple(n for n in copy.seat.members if n != change.removed)
     if len(members) < len(copy.seat.members):
         members += (
             next(
                 (
                     n
-                    for n in rest
-                    if n != swap.new and now - state.heard.get(n, state.seated) < state.silent * CORE_GONE
+                    for n in others
+                    if n != change.added
+                    and now - state.last_replies.get(n, state.primary_since)
+                    < state.store_timeout * CORE_TIMEOUT_FACTOR
                 ),
-                rest[0],
+                others[0],
             ),
         )
-    run, effects = ballot.begin(
-        state.run, state.me, crews(state) + (crew,), now, f'{swap.new} for {swap.old}', crew, members
+    campaign, ballot_effects = ballot.begin(
+        state.campaign,
+        state.me,
+        voter_sets(state) + (voters,),
+        now,
+        f'{change.added} for {change.removed}',
+        voters,
+        members,
     )
-    out.extend(effects)
-    return state._replace(run=run)
+    effects.extend(ballot_effects)
+    return state._replace(campaign=campaign)
--- a/src/quillstall/controlplane/pooled_failures.py
+++ b/src/quillstall/controlplane/pooled_failures.py
@@ -81,19 +81,19 @@
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> a, b = (Node(n, 'route', '', zone, 0, failing={'r': t}) for n, zone in (('a', 'x'), ('b', 'y')))
-    >>> lost([a, b]), lost([a]), lost([a, b._replace(zone='x'), b._replace(name='c', failing={})])
+    >>> a, b = (Node(n, 'route', '', zone, 0, last_failures={'r': t}) for n, zone in (('a', 'x'), ('b', 'y')))
+    >>> lost([a, b]), lost([a]), lost([a, b._replace(zone='x'), b._replace(name='c', last_failures={})])
     (['r'], [], [])
-    >>> lost([a, b._replace(serving={'r': t})])
+    >>> lost([a, b._replace(last_successes={'r': t})])
     []
     """
     served: dict[str, datetime] = {}
     for node in routing:
-        for replica, at in node.serving.items():
+        for replica, at in node.last_successes.items():
             served[replica] = max(at, served.get(replica, at))
     witnesses: dict[str, list[Node]] = {}
     for node in routing:
-        for replica, at in node.failing.items():
+        for replica, at in node.last_failures.items():
             if replica not in served or at > served[replica]:
                 witnesses.setdefault(replica, []).append(node)
     return [replica for replica, seen_by in witnesses.items() if agreed(seen_by, routing)]
--- a/src/quillstall/controlplane/run.py
+++ b/src/quillstall/controlplane/run.py
@@ -96,7 +96,7 @@
 async def look(ctx: Ctx, host: Host) -> None:
     """While this core is the primary, ask for the list of replicas, for all nodes: `await look(ctx, host)`."""
     while True:
-        if core_state.primary(host.state):
+        if core_state.is_primary(host.state):
             try:
                 host.queue.put_nowait(Listing(await ctx.lister.look()))
             except Fault as e:
--- a/src/quillstall/controlplane/status.py
+++ b/src/quillstall/controlplane/status.py
@@ -7,19 +7,19 @@
 from quillstall.controlplane import book, placement
 from quillstall.controlplane.core_state import (
     Core,
-    copy_of,
-    crew_of,
-    newest,
-    primary,
-    rows_of,
+    confirmed_rows,
+    core_copy,
+    current_voters,
+    is_primary,
+    newest_replica_set,
     where,
 )
 from quillstall.replication import register
 
 
-def who(state: Core) -> dict:
+def describe_process(state: Core) -> dict:
     """What anyone may know: the fleet and who is thought to be primary: `who(state)`."""
-    copy, best = copy_of(state), newest(state)
+    copy, replica_set = core_copy(state), newest_replica_set(state)
     return {
         'ok': True,
         'me': state.me,
@@ -28,70 +28,72 @@
         'crew': state.fleet,
         'sure': list(copy.seat) if copy and copy.seat else None,
         'core': [a for _, a in (state.fleet or {}).get('witnesses', ())],
-        'seat': list(best) if best else None,
-        'at': where(state, best.primary) if best else None,
+        'seat': list(replica_set) if replica_set else None,
+        'at': where(state, replica_set.primary) if replica_set else None,
     }
 
 
 def status(state: Core, now: datetime, rows: Map | None = None) -> dict:
     """What this process knows of the fleet, its rows by themselves or as they were confirmed:
     `status(state, now)`."""
-    rows = rows_of(state) if rows is None else rows
+    rows = confirmed_rows(state) if rows is None else rows
     registered = rows.get('register') or register.NEVER
-    copy = copy_of(state)
+    copy = core_copy(state)
     nodes = {}
-    gen = rows.get('gen', 0)
+    generation = rows.get('gen', 0)
     for n in state.nodes.values():
-        quiet = now - n.heard
+        silence = now - n.last_heard
         cause = ''
-        if n.role == 'route' and n.generation < gen:
+        if n.role == 'route' and n.generation < generation:
             cause = (
-                'its lease has run out' if not (n.lease and n.lease > now) else 'has not yet polled for it'
+                'its lease has run out'
+                if not (n.lease_end and n.lease_end > now)
+                else 'has not yet polled for it'
             )
         nodes[n.name] = {
             'role': n.role,
             'address': n.address,
             'zone': n.zone,
-            'inc': n.inc,
+            'inc': n.incarnation,
             'generation': n.generation,
-            'silent_ms': quiet // timedelta(milliseconds=1),
-            'lease': bool(n.lease and n.lease > now),
+            'silent_ms': silence // timedelta(milliseconds=1),
+            'lease': bool(n.lease_end and n.lease_end > now),
             'behind': cause,
-            'watches': list(n.peers),
-            'suspects': list(n.suspects),
-            'stuck': list(n.stuck),
-            'pressure': n.pressure,
-            'facts': n.facts,
-            'clock_ms': round((n.facts['clock'] - (n.heard + state.wall_ahead).timestamp()) * 1000)
-            if 'clock' in n.facts
+            'watches': list(n.watched_peers),
+            'suspects': list(n.suspected_peers),
+            'stuck': list(n.stalled_partitions),
+            'pressure': n.demand,
+            'facts': n.diagnostics,
+            'clock_ms': round((n.diagnostics['clock'] - (n.last_heard + state.wall_ahead).timestamp()) * 1000)
+            if 'clock' in n.diagnostics
             else None,
         }
     members = {
         n: {
-            **r,
+            **row,
             'parts': book.sits(rows, n),
-            'off': bool(r.get('emptied')),
+            'off': bool(row.get('emptied')),
         }
-        for n, r in book.named(rows, 'member/')
+        for n, row in book.named(rows, 'member/')
     }
-    since = (now - state.seated) // timedelta(milliseconds=1) if state.seated else None
+    primary_ms = (now - state.primary_since) // timedelta(milliseconds=1) if state.primary_since else None
     return {
         'ok': True,
         'me': state.me,
-        'primary': primary(state),
-        'seated_ms': since,
+        'primary': is_primary(state),
+        'seated_ms': primary_ms,
         'seat': list(copy.seat) if copy and copy.seat else None,
         'fleet': (state.fleet or {}).get('id'),
-        'generation': gen,
+        'generation': generation,
         'place': rows.get('place', 0),
         'nodes': nodes,
         'members': members,
         'parts': {p: list(s) for p, s in book.named(rows, 'part/')},
-        'plans': [list(p) for p in placement.plans(state, now)] if primary(state) else [],
-        'core': [list(w) for w in crew_of(state)],
-        'guests': {a: g[0] for a, g in sorted(state.guests.items())},
+        'plans': [list(p) for p in placement.plan_reconfigurations(state, now)] if is_primary(state) else [],
+        'core': [list(w) for w in current_voters(state)],
+        'guests': {a: g[0] for a, g in sorted(state.waiting_cores.items())},
         'register': registered,
-        'waits': [w.generation for w in state.waits],
-        'allot': state.targets,
+        'waits': [w.generation for w in state.pending_changes],
+        'allot': state.allocations,
         'leaving': [n for n, _ in book.named(rows, 'leaving/')],
     }
--- a/src/quillstall/testbed/growth.py
+++ b/src/quillstall/testbed/growth.py
@@ -67,7 +67,7 @@
         """Give the state machine an event and write what it asks for; what it returned for."""
         returned, events = [], [event]
         while events:
-            self.state, effects = group.step(self.state, events.pop(0), START, core.apply_part)
+            self.state, effects = group.step(self.state, events.pop(0), START, core.apply_command)
             for effect in effects:
                 if type(effect) is Write:
                     await self.disk.write(effect.puts)
--- a/src/quillstall/testbed/model/breaks.py
+++ b/src/quillstall/testbed/model/breaks.py
@@ -378,15 +378,15 @@
 @contextmanager
 def show_unconfirmed() -> Iterator[None]:
     """The core tells of changes that are still being confirmed."""
-    real = core.done
+    real = core.finish_command
 
     def done(state: Any, effect: Done, *more: Any) -> Any:
         if 'rows' in effect.ret:
-            newest = core_state.copy_of(state).rows
+            newest = core_state.core_copy(state).rows
             effect = effect._replace(ret={**effect.ret, 'rows': newest})
         return real(state, effect, *more)
 
-    with patch.object(core, 'done', done):
+    with patch.object(core, 'finish_command', done):
         yield
 
 
--- a/src/quillstall/testbed/model/members.py
+++ b/src/quillstall/testbed/model/members.py
@@ -136,10 +136,10 @@
             return core.step(state, Told(tag, {'k': 'show'}), now)
         out: list = []
         operation = Op(CORE_PART, ('c', 'model', tag), request_of(command))
-        return core.feed(state, operation, now, out), tuple(out)
+        return core.step_replication(state, operation, now, out), tuple(out)
 
     def copy(self, state: core_state.Core) -> group.Copy | None:
-        return core_state.copy_of(state)
+        return core_state.core_copy(state)
 
     def sends(self, message: dict) -> bool:
         return message['k'] in SENT_BY_CORE
--- a/src/quillstall/testbed/sabotage.py
+++ b/src/quillstall/testbed/sabotage.py
@@ -66,7 +66,7 @@
         run, effects, events = real(*more)
         return run, effects, events if run.stage in ('move', 'won') else ()
 
-    with patch.object(core, 'learn', nothing), patch.object(ballot, 'heard', lost):
+    with patch.object(core, 'learn_fleet', nothing), patch.object(ballot, 'heard', lost):
         yield
 
 
@@ -129,10 +129,10 @@
     """A policy is acknowledged without waiting for the routing nodes."""
 
     def at_once(state: Any, now: Any, out: list) -> Any:
-        out.extend(Return(w.call, w.ret) for w in state.waits)
-        return state._replace(waits=())
+        out.extend(Return(w.call, w.reply) for w in state.pending_changes)
+        return state._replace(pending_changes=())
 
-    with patch.object(leases, 'release', at_once):
+    with patch.object(leases, 'acknowledge_changes', at_once):
         yield
 
 
@@ -152,7 +152,7 @@
 @contextmanager
 def ack_minority() -> Iterator[None]:
     """A policy is acknowledged whether or not a majority of the stores has it."""
-    with patch.object(leases, 'kept', lambda state, generation: True):
+    with patch.object(leases, 'on_store_majority', lambda state, generation: True):
         yield
 
 
@@ -199,12 +199,12 @@
 @contextmanager
 def settable_clock() -> Iterator[None]:
     """The core judges by its wall clock whether the leases that it gave have run out."""
-    steady = leases.late
+    steady = leases.nodes_under_old_leases
 
     def settable(state: Any, generation: int, now: Any) -> list[str]:
         return steady(state, generation, now + state.wall_ahead)
 
-    with patch.object(leases, 'late', settable):
+    with patch.object(leases, 'nodes_under_old_leases', settable):
         yield
 
 
@@ -215,7 +215,7 @@
     def silent(state: Any, now: Any, out: list) -> Any:
         return state
 
-    with patch.object(core, 'greet', silent), patch.object(store, 'greet', silent):
+    with patch.object(core, 'send_hello', silent), patch.object(store, 'greet', silent):
         yield
 
 
--- a/src/quillstall/testbed/scale.py
+++ b/src/quillstall/testbed/scale.py
@@ -608,21 +608,23 @@
                 held.setdefault(n, {})[r] = count
     laid = time.process_time() - began
     has = {r: [cells[names[0]], 0] for r, cells in targets.items()}
-    node = core_state.Node(names[0], 'route', '127.0.0.1:1', 'z0', 1, heard=now, lease=now, has=has)
+    node = core_state.Node(
+        names[0], 'route', '127.0.0.1:1', 'z0', 1, last_heard=now, lease_end=now, reported_slots=has
+    )
     state = core_state.Core(
         'c0',
         '127.0.0.1:1',
         'z0',
         (),
         nodes=Map({node.name: node}),
-        held=Map(held),
-        targets=targets,
-        seated=now - timedelta(minutes=1),
+        held_slots=Map(held),
+        allocations=targets,
+        primary_since=now - timedelta(minutes=1),
     )
     out = {}
     for key, work in (
-        ('hold', lambda: leases.hold(state, node)),
-        ('look', lambda: leases.news(state, node.name, now)),
+        ('hold', lambda: leases.record_held_slots(state, node)),
+        ('look', lambda: leases.allocation_changed(state, node.name, now)),
         ('check', lambda: check(merge(whole, {'routes': {'t0000': {'max_tokens': 18}}}))),
     ):
         began = time.process_time()
