--- a/src/quillstall/controlplane/__init__.py
+++ b/src/quillstall/controlplane/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: core and stores, and the operator's verbs."""
+"""The control plane: core processes, store processes and the operators' commands."""
--- a/src/quillstall/controlplane/core.py
+++ b/src/quillstall/controlplane/core.py
@@ -1,5 +1,5 @@
-"""Core: the reducer of a core process: voter, member of the core's replica set, and, while it is
-primary, keeper of the news, the leases, the allotments and the placement."""
+"""The reducer of a core process. The process votes in elections, replicates the core table if it is a member
+of the core's replica set, and as the primary serves configuration, leases, slot allocations and placement."""
 
 from datetime import datetime, timedelta
 from typing import Any
@@ -47,23 +47,19 @@
 )
 from quillstall.runtime.errors import Fault
 
-__all__ = ['load', 'step', 'where']  # what a role offers to the process that runs it
+__all__ = ['load', 'step', 'where']  # the interface of a role to the process that runs it
 
 POLL_HOLD_TIME = timedelta(milliseconds=250)
-POLL_BATCH_WINDOW = timedelta(
-    milliseconds=60
-)  # polls this close to their time are answered with one that is due
+POLL_BATCH_WINDOW = timedelta(milliseconds=60)  # polls due within this time join a batch that is sent now
 ALLOCATION_INTERVAL = timedelta(milliseconds=500)
-NODE_EXPIRY = timedelta(
-    seconds=60
-)  # so long silent and without a lease, a start of a routing node is forgotten
+NODE_EXPIRY = timedelta(seconds=60)  # of a routing node that is silent and holds no lease
 HELLO_INTERVAL = timedelta(seconds=1)
 MAX_HELLOS = 16
-LEADERSHIP_TERM = timedelta(milliseconds=3300)  # a little longer than the holder counts on
+LEADERSHIP_TERM = timedelta(milliseconds=3300)  # a little longer than the holder assumes
 
 
 def step(state: Core, event: Any, now: datetime) -> tuple[Core, tuple]:
-    """The next state and the effects of any event of a core process.
+    """Return the next state and the effects of an event of a core process.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
@@ -99,7 +95,9 @@
 
 
 def step_replication(state: Core, event: Any, now: datetime, effects: list) -> Core:
-    """Give the group an event, and do here what concerns this process."""
+    """Step the core's replica group by an event and handle the effects that concern this process.
+
+    A new primary starts with empty soft state; one that steps down fails the calls that wait for it."""
     was_primary = is_primary(state)
     copies, group_effects = group.step(state.copies, event, now, apply_command)
     state = state._replace(copies=copies)
@@ -133,6 +131,7 @@
 
 
 def handle_ballot_reply(state: Core, event: Heard, now: datetime, effects: list) -> Core:
+    """Handle an acceptor's reply in this process's campaign, and remember newer voters that it reports."""
     copy = core_copy(state)
     own_replica_set = copy.seat if copy and copy.full else None
     reply = event.ret or {}
@@ -162,6 +161,7 @@
 
 
 def handle_message(state: Core, event: Told, now: datetime, effects: list) -> Core:
+    """Handle a message from another process; polls and commands are for the primary alone."""
     message = event.message
     kind = message.get('k')
     if kind in ('hail', 'form'):
@@ -170,7 +170,7 @@
         effects.append(Return(event.call, status.describe_process(state)))
         return state
     if kind == 'greet':
-        if state.fleet is None:  # an empty folder, and seeds that are gone
+        if state.fleet is None:  # its data folder is empty and its seeds do not answer
             membership.request_admission(
                 state, message['core'][int(now.timestamp()) % len(message['core'])], effects
             )
@@ -243,8 +243,9 @@
 
 
 def vote_on_leadership(state: Core, event: Told, now: datetime, effects: list) -> Core:
-    """This witness's ballot for a duty: for one holder a term; none just after a start, when the
-    ballots cast before it are forgotten."""
+    """Vote on the leadership of a fleet-wide task, such as probing: for one holder a term.
+
+    Votes are kept in memory only, so none is granted during the first term after a start."""
     name, candidate = event.message['name'], event.message['by']
     vote = state.leadership_votes.get(name)
     granted = now - state.started_at >= LEADERSHIP_TERM and (
@@ -261,6 +262,7 @@
 
 
 def handle_poll(state: Core, event: Told, now: datetime, effects: list) -> Core:
+    """Record what a routing node or a store reports with its poll, and hold the poll until it is answered."""
     message = event.message
     previous = state.nodes.get(message['node'])
     if previous and message['inc'] < previous.incarnation:
@@ -336,7 +338,7 @@
 
 
 def answer_due_polls(state: Core, now: datetime, effects: list) -> Core:
-    """Answer the polls that have news or have waited long, after the backup's confirmation."""
+    """Answer polls with an update and those whose hold time is over, once the backup has confirmed."""
     overdue = [poll for poll in state.pending_polls if now - poll.since >= POLL_HOLD_TIME]
     min_wait = POLL_HOLD_TIME - POLL_BATCH_WINDOW if overdue else POLL_HOLD_TIME
     leaders = leases.stores_with_new_plans(state, now)
@@ -349,13 +351,14 @@
 
 
 def has_update(state: Core, name: str, now: datetime) -> bool:
-    """Whether there is something to tell a node that polls."""
+    """Return whether there is an update for a node that polls."""
     return leases.is_behind(state, state.nodes[name]) or leases.allocation_changed(state, name, now)
 
 
 def answer_new_poll(state: Core, poll: Poll, now: datetime, effects: list) -> Core:
-    """As `flush`, where nothing has changed for any node but the one that has just polled: there is news
-    for that one, or a poll has waited long, or nothing is to be done."""
+    """Answer due polls where nothing has changed but for the node that has just polled.
+
+    The other nodes need not be checked for updates, so the cost of a poll does not grow with their number."""
     if now - state.pending_polls[0].since >= POLL_HOLD_TIME or leases.reports_trouble(state.nodes[poll.name]):
         return answer_due_polls(state, now, effects)
     if has_update(state, poll.name, now):
@@ -364,7 +367,7 @@
 
 
 def confirm_polls(state: Core, due: tuple, now: datetime, effects: list) -> Core:
-    """One confirmation by the backup for a batch of polls; their answers follow it."""
+    """Have the backup confirm once for a batch of polls; they are answered after that."""
     if not due:
         return state
     calls = {poll.call for poll in due}
@@ -375,8 +378,10 @@
 
 
 def update_register(state: Core, now: datetime, effects: list) -> Core:
-    """Keep the register of stores in step with the stores there are: one change at a time, and the old
-    register counts until every majority of both has the new one and the leases of before are over."""
+    """Bring the lease quorum (the register of stores) in line with the live stores, one change at a time.
+
+    As in joint consensus, majorities of both the old and the new register count until both have majorities that
+    know the new one and the leases granted before that have expired."""
     rows = confirmed_rows(state)
     if not book.named(rows, 'part/'):
         return state
@@ -409,8 +414,10 @@
 
 
 def complete_retirement(state: Core, now: datetime, effects: list) -> Core:
-    """Record the retirement of a store as completed once nothing needs it any more. The partitions and the
-    register are looked at again as the command runs; that its stores know the register is seen here."""
+    """Record the retirement of a store as completed once no partition and no register needs it.
+
+    The command checks partitions and register again as it is applied; whether a majority of the stores knows
+    the register is checked here."""
     rows, current = confirmed_rows(state), current_register(state)
     retiring = [
         n for n, r in book.named(rows, 'member/') if r['state'] == 'retiring' and not r.get('emptied')
@@ -430,11 +437,11 @@
 
 
 def finish_command(state: Core, effect: Done, now: datetime, effects: list) -> Core:
-    """A command of ours is on two disks, or has failed."""
+    """Handle the result of a command: it is on the disks of the replica set, or has failed."""
     tag, reply = effect.tag, effect.ret
     if tag[0] == 'beat':
         return state
-    if tag[1] == 'none':  # it may have been a change of members, of seats or of the register
+    if tag[1] == 'none':  # it may have changed members, replica sets or the register
         return answer_due_polls(state, now, effects)
     kind, call = tag[1], tag[2]
     if kind == 'polls':
@@ -473,7 +480,9 @@
 
 
 def create_partitions(state: Core, now: datetime, effects: list) -> Core:
-    """Lay the parts out once enough stores are there."""
+    """Create the partitions once enough stores in two zones are live.
+
+    Enough is one more than there are copies or, after two lease times, as many as there are copies."""
     rows = confirmed_rows(state)
     if book.named(rows, 'part/') or state.primary_since is None:
         return state
@@ -505,6 +514,7 @@
 
 
 def tick(state: Core, now: datetime, effects: list) -> Core:
+    """Run the periodic work: elections on every core, all else on the primary."""
     if state.fleet is None:
         return formation.try_to_form(state, now, effects)
     state = step_replication(state, Tick(), now, effects)
@@ -529,8 +539,9 @@
 
 
 def remove_expired_nodes(state: Core, now: datetime) -> Core:
-    """Routing nodes that have been silent for long, with no lease left: each start is a node of its own,
-    and what it was is of no more use."""
+    """Return the state without routing nodes that have long been silent and hold no lease.
+
+    A restarted process has a new name, so the old entry would never be used again."""
     expired = [
         n
         for n in state.nodes.values()
@@ -545,8 +556,9 @@
 
 
 def send_hello(state: Core, now: datetime, effects: list) -> Core:
-    """Tell the addresses that are known and silent where the core is: a process that was started again
-    with the seeds of its first day may have no other way to learn it."""
+    """Tell known but silent addresses where the core is, some at a time.
+
+    A process that restarts with outdated seeds may have no other way to find it."""
     if state.hello_sent_at is not None and now - state.hello_sent_at < HELLO_INTERVAL:
         return state
     rows = confirmed_rows(state)
@@ -569,7 +581,7 @@
 
 
 def learn_fleet(state: Core, fleet: dict, replica_set: Any, call: Any, now: datetime, effects: list) -> Core:
-    """Take a newer crew, and a newer seat, that are known to be in force."""
+    """Adopt newer voters and a newer replica set that are known to be chosen."""
     if state.fleet is not None and fleet['id'] == state.fleet['id']:
         if fleet['epoch'] > state.fleet['epoch']:
             effects.append(Write((Put('', 'fleet', fleet),), ('none',)))
@@ -588,7 +600,7 @@
 
 
 def handle_core_reply(state: Core, event: Heard, now: datetime, effects: list) -> Core:
-    """The returns of hails and of the word that a fleet is formed."""
+    """Handle another core's reply to a join request, an admission request, an invitation or a status poll."""
     reply = event.ret
     if reply is None or 'fault' in reply:
         if event.tag[1] == 'admit' and reply and reply['more'].get('at'):
@@ -649,6 +661,7 @@
 
 
 def finish_fleet_write(state: Core, event: Wrote, now: datetime, effects: list) -> Core:
+    """Join a fleet whose record is now on this process's disk."""
     if event.tag[1] == 'forming':
         return state
     fleet, call = event.tag[2], event.tag[3]
--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -1,4 +1,4 @@
-"""What a core process knows: its records, the state after a start, and the plain questions asked of it."""
+"""The state of a core process: its records, how it is loaded after a start, and simple queries on it."""
 
 from datetime import datetime, timedelta
 from typing import Any, NamedTuple
@@ -14,12 +14,12 @@
 
 STORE_TIMEOUT = timedelta(milliseconds=2000)
 PARTITIONS = 24
-PEER_REPORT_VALIDITY = timedelta(milliseconds=5000)  # how long watchers' word keeps a silent store
+PEER_REPORT_VALIDITY = timedelta(milliseconds=5000)  # so long peers can vouch for a silent store
 RECENT_POLL = timedelta(milliseconds=1500)
 
 
 class Node(NamedTuple):
-    """A routing node or a store, as its polls show it.
+    """A routing node or a store, as it reported itself with its last poll.
 
     >>> Node('n1', 'route', '127.0.0.1:1', 'z1', 1).generation
     0
@@ -42,19 +42,19 @@
     watched_peers: tuple = ()
     suspect_replicas: tuple = ()
     probe_reports: dict = {}
-    register_number: int = 0  # the register that it has
-    renewed_leases: tuple = ()  # a store's word on leases it renewed: (node, generation, their end)
-    listing: dict = {}  # age and digest of the list of replicas that it has
-    relayed: bool = False  # it reaches the core through a peer only
-    assigned_plans: tuple = ()  # the moves that it was last told to lead
-    accepts_packed: bool = False  # it takes a packed policy
-    last_failures: dict = {}  # replica -> when this node last failed with it
-    last_successes: dict = {}  # of replicas in doubt: when this node was last served by them
-    outcomes: dict = {}  # replica -> failed and well tasks of this node there lately
+    register_number: int = 0  # number of the register that it knows
+    renewed_leases: tuple = ()  # leases that a store renewed: (node, generation, end)
+    listing: dict = {}  # age and digest of its list of replicas
+    relayed: bool = False  # it reaches the core only through a peer
+    assigned_plans: tuple = ()  # the reconfigurations that it was last told to lead
+    accepts_packed: bool = False  # it can read a packed policy
+    last_failures: dict = {}  # replica -> when a request of this node last failed there
+    last_successes: dict = {}  # suspect replica -> when a request of this node last succeeded
+    outcomes: dict = {}  # replica -> recent failed and successful tasks of this node
 
 
 class PackedPolicy(NamedTuple):
-    """A policy, and its bytes for the nodes that take it so.
+    """A policy and its packed form, for the nodes that can read it.
 
     >>> PackedPolicy().data
     b''
@@ -65,7 +65,7 @@
 
 
 class Poll(NamedTuple):
-    """A poll that waits for news.
+    """A poll that is held until there is an update or its hold time is over.
 
     >>> Poll(1, 'n1', None).name
     'n1'
@@ -77,14 +77,14 @@
 
 
 class VoterChange(NamedTuple):
-    """A witness and member on its way out, and the one that is to take its place.
+    """A change of the voters under way: the voter to remove and the core to add in its place.
 
     >>> VoterChange(None, 'c1', 'c4', '127.0.0.1:9', None).added
     'c4'
     """
 
     call: Any
-    removed: str | None  # None: the crew grows
+    removed: str | None  # None: the number of voters grows
     added: str
     address: str
     since: datetime | None
@@ -92,7 +92,7 @@
 
 
 class PendingChange(NamedTuple):
-    """An operator's command that waits until every routing node has its generation.
+    """An operator's change that is acknowledged once no routing node can act on an older generation.
 
     >>> PendingChange(1, 2, {}).generation
     2
@@ -104,7 +104,7 @@
 
 
 class Core(NamedTuple):
-    """All that a core process knows.
+    """The state of a core process.
 
     >>> Core('c1', '127.0.0.1:1', 'z1', ()).fleet is None
     True
@@ -119,12 +119,12 @@
     campaign: ballot.Campaign = ballot.Campaign()
     fleet: dict | None = None
     forming_fleet: dict | None = None
-    possible_voters: tuple | None = None  # a crew that may have been granted: (epoch, crew)
-    waiting_cores: Map = Map()  # cores that wait to be let in: address -> (name, zone)
+    possible_voters: tuple | None = None  # voters that may have been chosen: (epoch, voters)
+    waiting_cores: Map = Map()  # cores that wait to be admitted: address -> (name, zone)
     last_live_stores: tuple = ()
-    leadership_votes: Map = Map()  # duty -> (holder, until): the ballots this witness has cast
+    leadership_votes: Map = Map()  # task -> (holder, end of term): votes that this process cast
     started_at: datetime | None = None
-    voter_change: Any = None  # the change of crew under way
+    voter_change: Any = None  # a VoterChange under way
     cores_polled_at: datetime | None = None
     formation_replies: Map = Map()
     next_join_request: datetime | None = None
@@ -132,39 +132,36 @@
     pending_polls: tuple = ()
     pending_changes: tuple = ()
     primary_since: datetime | None = None
-    held_slots: Map = Map()  # routing node -> replica -> the slots that it may still be using
+    held_slots: Map = Map()  # routing node -> replica -> slots that it may still be using
     allocations: dict = {}
     allocated_demand: dict = {}
     allocated_at: datetime | None = None
     rng_state: int = 1
     partition_count: int = PARTITIONS
-    settled_register: tuple = (0, None)  # the register that majorities have, and since when
+    settled_register: tuple = (0, None)  # number of the register that majorities know, and since when
     hello_sent_at: datetime | None = None
-    listing: dict = {}  # the newest list of replicas, with the time when it was looked up
-    may_found: bool = True  # whether this may be the fleet's first start
-    tolerated_losses: int = 1  # how many machines with a disk may be lost at once
-    degraded_mode: bool = False  # whether a part is served on by what is left while it is repaired
-    last_replies: Map = Map()  # core -> when it last answered
-    wall_ahead: timedelta = timedelta(0)  # how far the wall clock is ahead of the steady one
+    listing: dict = {}  # the newest list of replicas, with the time of its lookup
+    may_found: bool = True  # False: this process may only join a fleet, never form one
+    tolerated_losses: int = 1  # machines with a disk that may be lost at once
+    degraded_mode: bool = False  # whether partitions serve with fewer copies during a repair
+    last_replies: Map = Map()  # core -> time of its last reply
+    wall_ahead: timedelta = timedelta(0)  # of the wall clock relative to the steady clock
     lease_duration: timedelta = LEASE
-    acknowledged_generation: int = (
-        0  # the newest generation that this process has acknowledged to an operator
-    )
-    store_timeout: timedelta = (
-        STORE_TIMEOUT  # so long silent, a store is given up if those that watch it agree
-    )
-    packed_policy: PackedPolicy = PackedPolicy()  # the policy that was sent last
+    acknowledged_generation: int = 0  # newest generation acknowledged to an operator
+    store_timeout: timedelta = STORE_TIMEOUT  # after which a store is given up unless peers reach it
+    packed_policy: PackedPolicy = PackedPolicy()  # the policy that was last sent
 
     @property
     def granted_lease(self) -> timedelta:
-        """How long this process counts a lease that it gave."""
+        """The time for which this process counts a lease that it granted, longer than the holder does."""
         return self.lease_duration * register.GRANTED_PART
 
 
 def initial_rng_state(me: str, count: int) -> int:
-    """Where a core's sequence of rests between elections begins: not where another's does. Cores that start
-    at the same moment, as after a loss of all power, would otherwise stand at the same moments, again and
-    again, and none would win.
+    """Return the seed of a core's randomized election timeouts; it differs between cores and between starts.
+
+    Cores that start at the same time, as after a power failure, would otherwise campaign at the same times
+    again and again, and none would win.
 
     >>> initial_rng_state('c1', 1) == initial_rng_state('c2', 1), initial_rng_state('c1', 1) == initial_rng_state('c1', 2)
     (False, False)
@@ -173,7 +170,7 @@
 
 
 def load(me: str, startup: dict, rows: dict, count: int, now: datetime) -> Core:
-    """The state after a start, from the startup and what the disk held.
+    """Return the state after a start, from the startup settings and the rows on disk.
 
     >>> from datetime import UTC
     >>> s = {'address': '127.0.0.1:1', 'zone': 'z1', 'seeds': ['127.0.0.1:1']}
@@ -209,7 +206,7 @@
 
 
 def where(state: Core, member: str) -> str | None:
-    """The address of a member: `where(state, 'c1')`. An address stands for itself."""
+    """Return the address of a member: `where(state, 'c1')`. An address is returned as it is."""
     if ':' in member:
         return member
     for voters in voter_sets(state):
@@ -220,12 +217,12 @@
 
 
 def current_voters(state: Core) -> tuple:
-    """The witnesses that are in force: `crew_of(state)`."""
+    """Return the voters of the fleet's current configuration: `current_voters(state)`."""
     return ballot.tuples((state.fleet or {}).get('witnesses')) or ()
 
 
 def next_voters(state: Core) -> tuple:
-    """The crew that the next seat goes with: the newest that may have been granted."""
+    """Return the voters that the next replica set is proposed with: the newest that may have been chosen."""
     epoch = (state.fleet or {}).get('epoch', 0)
     newest = (epoch, current_voters(state))
     if state.acceptor.seat and state.acceptor.crew and state.acceptor.seat[0] > newest[0]:
@@ -236,7 +233,7 @@
 
 
 def voter_sets(state: Core) -> tuple:
-    """All crews of which a majority is needed now: `crews(state)`."""
+    """Return the sets of voters that must each give a majority, as in joint consensus: `voter_sets(state)`."""
     sets = [current_voters(state)]
     for voters in (
         next_voters(state),
@@ -248,16 +245,18 @@
 
 
 def apply_command(partition: str, rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
-    """The group's way to the book: `apply_part('core', rows, {'op': 'confirm'}, now)`."""
+    """Apply a command to the core table, as the replica group requires it:
+    `apply_command('core', rows, {'op': 'confirm'}, now)`."""
     return book.apply(rows, command, now)
 
 
 def core_copy(state: Core) -> group.Copy | None:
+    """Return this process's copy of the core table, None if it has none."""
     return state.copies.parts.get('core')
 
 
 def confirmed_rows(state: Core) -> Map:
-    """The core's rows as far as they are confirmed: nobody may be told of changes that can still be lost."""
+    """Return the committed rows of the core table: changes that can still be lost are shown to nobody."""
     copy = core_copy(state)
     if copy is None:
         return Map()
@@ -267,13 +266,13 @@
 
 
 def is_primary(state: Core) -> bool:
-    """Whether this process is the ready primary: `primary(state)`."""
+    """Return whether this process is the primary and ready to serve: `is_primary(state)`."""
     copy = core_copy(state)
     return bool(copy and copy.seat and copy.full and copy.ready and copy.seat.primary == state.me)
 
 
 def replication_factor(state: Core) -> int:
-    """How many copies there are of everything kept: one more than may be lost at once.
+    """Return the number of copies of all stored data: one more than may be lost at once.
 
     >>> replication_factor(Core('c1', '127.0.0.1:1', 'z1', ()))
     2
@@ -282,7 +281,7 @@
 
 
 def newest_replica_set(state: Core) -> Seat | None:
-    """The newest seat that this process has heard of: `newest(state)`."""
+    """Return the core's newest replica set that this process knows: `newest_replica_set(state)`."""
     copy = core_copy(state)
     known = [copy.seat if copy else None, state.acceptor.seat, (state.fleet or {}).get('seat')]
     return max(
@@ -293,10 +292,10 @@
 
 
 def current_register(state: Core) -> dict:
-    """The stores of which majorities count now: `register_of(state)['now']`."""
+    """Return the register of the stores that form the lease quorum: `current_register(state)['now']`."""
     return confirmed_rows(state).get('register') or register.NEVER
 
 
 def old_leases_may_run(state: Core, now: datetime) -> bool:
-    """Whether leases that the last primary gave may still run: `early(state, now)`."""
+    """Return whether leases of the previous primary may still be valid: `old_leases_may_run(state, now)`."""
     return state.primary_since is None or now - state.primary_since < state.granted_lease
--- a/src/quillstall/controlplane/formation.py
+++ b/src/quillstall/controlplane/formation.py
@@ -1,4 +1,4 @@
-"""First formation of a fleet: only when all three seeds are cores that have never had one."""
+"""Bootstrap of a fleet, only if all seeds are cores that have never belonged to one."""
 
 from datetime import datetime, timedelta
 
@@ -8,12 +8,13 @@
 
 
 def try_to_form(state: Core, now: datetime, effects: list) -> Core:
+    """Send a join request to every other seed or, once a fleet has been proposed, its record to the members."""
     if state.next_join_request and now < state.next_join_request:
         return state
     if not state.may_found and not state.formation_replies.get('told'):
         state = state._replace(
             formation_replies=state.formation_replies.set('told', True)
-        )  # wait to be let in, never begin anew
+        )  # wait for admission, never form a fleet
     state = state._replace(next_join_request=now + timedelta(milliseconds=300))
     if state.forming_fleet:
         for name, address in state.forming_fleet['witnesses']:
@@ -27,6 +28,7 @@
 
 
 def handle_formation_request(state: Core, event: Told, now: datetime, effects: list) -> Core:
+    """Answer a join request (`hail`) with this core's identity, or accept a proposed fleet (`form`)."""
     message = event.message
     if message['k'] == 'hail':
         effects.append(
--- a/src/quillstall/controlplane/leases.py
+++ b/src/quillstall/controlplane/leases.py
@@ -1,4 +1,4 @@
-"""Leases of the routing nodes: polls, news, acknowledgement of generations, and allotment of slots."""
+"""Leases of the routing nodes: answers to polls, acknowledgement of configuration generations, slot allocation."""
 
 from collections.abc import Iterable
 from datetime import datetime, timedelta
@@ -26,11 +26,12 @@
 from quillstall.runtime.effect import Return
 from quillstall.runtime.errors import Fault
 
-WATCHED_PEERS = 3  # peers that each node watches
-WATCHED_STORES = 2  # of them, those that follow it among the stores: so each store is watched by two
+WATCHED_PEERS = 3  # peers that each node monitors
+WATCHED_STORES = 2  # for a store, its successors in the ring: two monitor each
 
 
 def is_behind(state: Core, node: Node) -> bool:
+    """Return whether a node lacks the newest configuration, placement, register or list of replicas."""
     rows = confirmed_rows(state)
     return (
         lacks_generation(node, rows.get('gen', 0))
@@ -41,7 +42,7 @@
 
 
 def lacks_generation(node: Node, generation: int) -> bool:
-    """Whether a generation is news to a node.
+    """Return whether a node has an older generation of the configuration.
 
     >>> lacks_generation(Node('n1', 'route', '127.0.0.1:1', 'z1', 1, 3), 3)
     False
@@ -50,7 +51,7 @@
 
 
 def allocation_changed(state: Core, name: str, now: datetime) -> bool:
-    """Whether the node's allotment has changed since it was told, or a plan waits for it."""
+    """Return whether the node's slot allocation differs from the one that it has."""
     node = state.nodes[name]
     if node.role == 'store':
         return False
@@ -59,7 +60,7 @@
 
 
 def reports_trouble(node: Node) -> bool:
-    """Whether a store says that a partition stands still, or that another store is silent.
+    """Return whether a store reports a stalled partition or a silent store.
 
     >>> reports_trouble(Node('s', 'store', '1:1', 'z', 1)), reports_trouble(Node('s', 'store', '1:1', 'z', 1, stalled_partitions=(['p', 2, []],)))
     (False, True)
@@ -68,8 +69,8 @@
 
 
 def stores_with_new_plans(state: Core, now: datetime) -> set[str]:
-    """The stores that are to lead a move they were not told of yet, while some partition stands still: their
-    polls are not held."""
+    """Return the stores that lead a reconfiguration that they do not know yet, while a partition is stalled or a
+    disk is lost: their polls are answered at once."""
     repairing = placement.in_startup_grace(state, now) and placement.stores_with_lost_disks(state)
     if not repairing and not any(reports_trouble(node) for node in state.nodes.values()):
         return set()
@@ -82,32 +83,32 @@
 
 
 def allocation_of(state: Core, name: str, now: datetime) -> dict:
-    """What a node may use now; just after a take-over, what it says it has."""
+    """Return the slots that a node may use now; soon after a failover, those that it reports."""
     if old_leases_may_run(state, now):
         return {replica: limit for replica, (limit, _) in state.nodes[name].reported_slots.items()}
     return {replica: shares[name] for replica, shares in state.allocations.items() if name in shares}
 
 
 class SharedAnswer(NamedTuple):
-    """What the answers to one batch of polls have in common.
+    """The fields that the answers to one batch of polls have in common.
 
     >>> SharedAnswer().leased_nodes
     0
     """
 
-    leased_nodes: int = 0  # how many routing nodes have a lease
-    addresses: dict = {}  # the processes that may be watched: name -> address
-    watchable: tuple = ()  # their names, in order
-    stores: frozenset = frozenset()  # those of them that are stores
-    suspect_replicas: tuple = ()  # the replicas that some node doubts
-    failing_replicas: tuple = ()  # the replicas that some node failed with lately
-    ejected_replicas: tuple = ()  # the replicas that are to be left alone
-    probe_reports: dict = {}  # what the holder of the probe duty says of them
-    plans: tuple = ()  # the moves that should be under way; filled in only if a store has asked
+    leased_nodes: int = 0  # number of routing nodes that hold a lease
+    addresses: dict = {}  # of the processes that may be monitored, by name
+    watchable: tuple = ()  # their names, sorted
+    stores: frozenset = frozenset()  # the stores among them
+    suspect_replicas: tuple = ()  # replicas that some node suspects
+    failing_replicas: tuple = ()  # replicas with recent failures at some node
+    ejected_replicas: tuple = ()  # replicas that are ejected temporarily
+    probe_reports: dict = {}  # the probe leader's results for them
+    plans: tuple = ()  # reconfigurations that should run; empty if no store polls
 
 
 def collect_shared(state: Core, names: Iterable[str], now: datetime) -> SharedAnswer:
-    """Work out once what the answers to all these nodes share: `share(state, ['n1', 's1'], now)`."""
+    """Return the fields that the answers to all these nodes share: `collect_shared(state, ['n1', 's1'], now)`."""
     polling = [state.nodes[name] for name in names if name in state.nodes]
     addresses: dict = {}
     stores, alive, live = [], [], {node.name for node in polling if node.role == 'route'}
@@ -145,8 +146,7 @@
 
 @lru_cache(maxsize=1024)
 def peers_to_watch(name: str, others: tuple, store_ring: tuple) -> tuple:
-    """The few peers that a node watches, of all that may be: for a store, one of the ring of stores, first
-    those that follow it there.
+    """Return the peers that a node monitors: for a store, first its successors in the ring of stores.
 
     >>> len(peers_to_watch('n1', ('n1', 'n2', 'n3', 'n4', 'n5'), ())), 'n1' in peers_to_watch('n1', ('n1', 'n2'), ())
     (3, False)
@@ -162,7 +162,7 @@
 
 
 def answer_polls(state: Core, polls: Iterable[Poll], rows: Map, now: datetime, effects: list) -> Core:
-    """The returns of a batch of polls from confirmed rows, and the leases that they give."""
+    """Answer a batch of polls from committed rows and grant the leases that go with the answers."""
     names = [poll.name for poll in polls]
     shared = collect_shared(state, names, now)
     state = pack_policy(state, names, rows)
@@ -172,7 +172,7 @@
 
 
 def pack_policy(state: Core, names: list[str], rows: Map) -> Core:
-    """The state with the policy packed, if one of these nodes is to get it: it is the same for all."""
+    """Return the state with the policy packed once for all, if one of these nodes needs it."""
     policy = rows.get('policy')
     polling = [state.nodes[name] for name in names if name in state.nodes]
     if state.packed_policy.policy is policy or not any(
@@ -183,7 +183,7 @@
 
 
 def policy_for(node: Node, policy: PackedPolicy) -> dict:
-    """The policy as a node can take it.
+    """Return the policy in the form that a node can read.
 
     >>> node, policy = Node('n', 'route', '1:1', 'z', 1), PackedPolicy({'classes': {}}, b'...')
     >>> policy_for(node, policy), policy_for(node._replace(accepts_packed=True), policy)
@@ -199,7 +199,7 @@
 def answer_poll(
     state: Core, poll: Poll, rows: Map, shared: SharedAnswer, now: datetime, effects: list
 ) -> Core:
-    """The return of one poll, and the lease that it gives."""
+    """Answer one poll and grant the lease that goes with the answer."""
     node = state.nodes.get(poll.name)
     if node is None:
         effects.append(Return(poll.call, Fault('moved', 'not the primary now').pack()))
@@ -230,10 +230,10 @@
         reply['listing'] = listing.to_wire(state.listing, now)
     elif node.role == 'route' and state.listing and node.listing.get('digest') == state.listing['digest']:
         seen = {key: state.listing[key] for key in ('at', 'digest')}
-        reply['listing_seen'] = listing.to_wire(seen, now)  # what it has is still what the list says
+        reply['listing_seen'] = listing.to_wire(seen, now)  # confirms that the node's list is current
     peers = peers_to_watch(node.name, shared.watchable, tuple(sorted(shared.stores)))
     reply['peers'] = {n: shared.addresses[n] for n in peers}
-    reply['watched'] = [n for n in peers if n in shared.stores]  # nobody asks whether a routing node is alive
+    reply['watched'] = [n for n in peers if n in shared.stores]  # routing nodes need no failure detection
     lease_end = node.lease_end
     if node.role == 'route':
         reply['allot'] = allocation_of(state, node.name, now)
@@ -255,8 +255,8 @@
 
 
 def acknowledge_changes(state: Core, now: datetime, effects: list) -> Core:
-    """Acknowledge the generations that every routing node has, or can no longer be without: a majority
-    of the registered stores has them, and no lease under an older one runs on."""
+    """Acknowledge changes whose generation no routing node can fall behind: a majority of the registered
+    stores has it on disk, and no lease under an older generation is valid."""
     still_pending = []
     for change in state.pending_changes:
         if (
@@ -274,15 +274,15 @@
 
 
 def on_store_majority(state: Core, generation: int) -> bool:
-    """Whether every majority of the registers that count has a store with the generation on its disk."""
+    """Return whether every majority of the valid registers includes a store that has the generation on disk."""
     store_register = current_register(state)
     up_to_date = [n.name for n in state.nodes.values() if n.role == 'store' and n.generation >= generation]
     return register.covers(up_to_date, store_register['now'], store_register['old'])
 
 
 def nodes_under_old_leases(state: Core, generation: int, now: datetime) -> list[str]:
-    """The routing nodes that may still send under an older generation, by a lease of ours or by one
-    that stores have renewed: `late(state, 4, now)`."""
+    """Return the routing nodes that may still send under an older generation, by a lease from this process or by
+    one that stores have renewed: `nodes_under_old_leases(state, 4, now)`."""
     up_to_date = {n.name for n in state.nodes.values() if n.role == 'route' and n.generation >= generation}
     leased_here = [
         n.name
@@ -298,7 +298,7 @@
 
 
 def record_held_slots(state: Core, node: Node) -> Core:
-    """What a node says it may still be using, and nothing else, counts as held by it."""
+    """Record the slots that a routing node may still be using: exactly those that it reports."""
     if node.role != 'route':
         return state
     held = {replica: max(limit, used) for replica, (limit, used) in node.reported_slots.items()}
@@ -306,7 +306,9 @@
 
 
 def reallocate_slots(state: Core, now: datetime) -> Core:
-    """Work out the allotments anew."""
+    """Recompute the slot allocation of all pools.
+
+    The demand of the last allocation is kept while it has changed little, so allocations do not oscillate."""
     policy = confirmed_rows(state).get('policy')
     if not policy or old_leases_may_run(state, now):
         return state._replace(allocated_at=now)
@@ -316,7 +318,7 @@
     allocations: dict = {}
     demands = dict(state.allocated_demand)
     for pool, spec in sorted(policy['pools'].items()):
-        if spec.get('listed'):  # shared by what the replicas themselves tell
+        if spec.get('listed'):  # its slots are shared by the load that the replicas report
             continue
         sizes = {replica: settings['slots'] for replica, settings in spec['replicas'].items()}
         demand = {n.name: float(n.demand.get(pool, 0)) for n in nodes}
--- a/src/quillstall/controlplane/membership.py
+++ b/src/quillstall/controlplane/membership.py
@@ -1,4 +1,4 @@
-"""Membership of the core: candidacies, changes of the voters, and the width of the core's replica set."""
+"""Membership of the core: elections, changes of the voters, and the size of the core's replica set."""
 
 from datetime import datetime, timedelta
 
@@ -18,21 +18,21 @@
 from quillstall.runtime.effect import Ask, Note, Propose, Return, Told, Violated, Write
 from quillstall.runtime.errors import Fault
 
-MEMBER_TIMEOUT = timedelta(milliseconds=1200)  # between the core's two seated members
+MEMBER_TIMEOUT = timedelta(milliseconds=1200)  # of silence between members before one campaigns
 MAX_REMOVED_VOTERS = 50
-RECENT_REPLY = timedelta(seconds=2)  # a core that answered so lately may be given a copy
+RECENT_REPLY = timedelta(seconds=2)  # a core that replied within this time may get a copy
 CORES_POLLED_WITHIN = timedelta(
     milliseconds=1500
-)  # by then a new primary has asked every core, and those up answered
-CORE_TIMEOUT_FACTOR = 3  # times as long silent as a store, a core is replaced by one that waits
+)  # a new primary has polled all cores; live ones have replied
+CORE_TIMEOUT_FACTOR = 3  # a core is replaced after this multiple of the store timeout
 
 
 def next_members(state: Core, granted_by: tuple) -> tuple | None:
-    """Whom a candidate would sit with, of those whose ballots came: the others of the old seat that are
-    there, and one from outside it. After a loss the old partners alone are tried, by turns.
+    """Return the members that a candidate would propose, itself first; None if no other has granted its ballot.
 
-    There are never fewer members than copies are needed: where two or more are silent, one of them stays a
-    member until the next round, and nothing is acknowledged until then."""
+    They are members of the old replica set that granted their ballots, and one voter from outside it; every third
+    campaign tries the old members alone. There are never fewer members than the replication factor: where two or
+    more are silent, one of them stays a member until the next round, and nothing is acknowledged until then."""
     copy = core_copy(state)
     if copy is None or copy.seat is None:
         return None
@@ -51,6 +51,7 @@
 
 
 def propose_replica_set(state: Core, effect: Propose, now: datetime, effects: list) -> Core:
+    """Ask the acceptors to accept the replica set that the replica group proposes."""
     campaign, ballot_effects = ballot.propose(
         state.campaign, effect.seat, voter_sets(state), state.campaign.crew or next_voters(state), now
     )
@@ -59,7 +60,7 @@
 
 
 def finish_election(state: Core, now: datetime, effects: list) -> Core:
-    """The witnesses have accepted: put the crew in force and tell everyone."""
+    """Commit the voters and the replica set that the acceptors have accepted, and tell all voters."""
     old_voters = current_voters(state)
     replica_set = Seat(*state.campaign.seat)
     copy = core_copy(state)
@@ -97,6 +98,7 @@
 
 
 def request_admission(state: Core, address: str, effects: list) -> None:
+    """Ask a core to admit this process as a voter."""
     effects.append(
         Ask(
             address,
@@ -107,7 +109,7 @@
 
 
 def poll_cores(state: Core, now: datetime, effects: list) -> Core:
-    """Ask another core, in turn, what it knows of the crew and the seat."""
+    """Ask another core, in turn, which voters and replica set it knows; the primary asks all others."""
     if state.cores_polled_at is not None and now - state.cores_polled_at < timedelta(seconds=1):
         return state
     others = [(n, a) for n, a in next_voters(state) if n != state.me]
@@ -121,7 +123,7 @@
 
 
 def start_campaign(state: Core, now: datetime, effects: list) -> Core:
-    """Stand for the primacy if the other seated member has been silent."""
+    """Start a campaign if this member has not heard from the rest of the replica set for the election timeout."""
     copy = core_copy(state)
     if copy is None or copy.seat is None or not copy.full or not copy.seat.holds(state.me):
         return state
@@ -146,7 +148,7 @@
 
 
 def request_voter_change(state: Core, event: Told, now: datetime, effects: list) -> Core:
-    """An operator's word that a core machine is to be swapped for another."""
+    """Handle an operator's request to replace a core by another; it is answered when the change ends."""
     message, voters = event.message, current_voters(state)
     removed = next((n for n, a in voters if message['name'] in (n, a)), None)
     replacement = message.get('by')
@@ -178,13 +180,17 @@
 
 
 def advance_voter_change(state: Core, now: datetime, effects: list) -> Core:
-    """Move a change of the crew on: invite the new one, then hold ballots under both crews."""
+    """Continue a change of the voters, or begin one that is needed.
+
+    The new core is invited first; then ballots are held under both the old and the new voters. A change begins
+    if a voter came back with an empty disk, if there are too few voters for the fault tolerance, or if a voter
+    has long been silent while another core waits. With no change to make, a missing copy is added."""
     change = state.voter_change
     if change is None:
         voters = current_voters(state)
         for name, address in voters:
             candidate = state.waiting_cores.get(address)
-            if candidate and candidate[0] != name:  # the same address with an empty folder: its disk was lost
+            if candidate and candidate[0] != name:  # the same address with an empty folder: the disk was lost
                 effects.append(
                     Note('swap', {'out': name, 'in': candidate[0], 'cause': 'its data folder is new'})
                 )
@@ -246,7 +252,7 @@
 
 
 def restore_copy_count(state: Core, now: datetime, effects: list) -> Core:
-    """Bring another copy into the core's seat where it has fewer than it should."""
+    """Propose one more member for the core's replica set if it has fewer than the replication factor."""
     copy = core_copy(state)
     if (
         len(copy.seat.members) >= replication_factor(state)
@@ -277,8 +283,9 @@
 
 
 def hand_over(state: Core, event: Told, now: datetime, effects: list) -> Core:
-    """A core is about to stop: bring its copy, and its vote if another core waits for one, to others first.
-    The return says whether it is worth waiting for; it asks again until it holds nothing."""
+    """Move the copy of a core that is about to stop, and its vote if another core waits, to other cores.
+
+    The reply says whether waiting is worthwhile; the core asks again until it holds neither."""
     name, copy = event.message['name'], core_copy(state)
     voter, waiting = name in dict(current_voters(state)), sorted(state.waiting_cores.items())
     change_running = state.campaign.stage != 'idle' or state.voter_change is not None
@@ -302,7 +309,7 @@
 
 
 def members_without(state: Core, name: str, now: datetime) -> tuple | None:
-    """As many members as now without one of them, the primary first; None if too few others are there."""
+    """Return as many members as now without one of them, the primary first; None if too few others respond."""
     copy = core_copy(state)
     responsive = [n for n in state.last_replies if now - state.last_replies[n] < RECENT_REPLY and n != name]
     remaining = [n for n in copy.seat.members if n != name and (n == state.me or n in responsive)]
@@ -312,7 +319,7 @@
 
 
 def end_voter_change(state: Core) -> Core:
-    """The change of the crew has ended, well or not; its guest asks again if it has to."""
+    """Forget a change of the voters that has succeeded or failed; a core that still waits asks again."""
     address = state.voter_change.address
     return state._replace(
         voter_change=None,
@@ -323,6 +330,7 @@
 
 
 def changed_voters(state: Core, change: VoterChange) -> tuple:
+    """Return the voters as they are after a change."""
     if change.removed is None:
         return current_voters(state) + ((change.added, change.address),)
     return tuple(
@@ -331,7 +339,7 @@
 
 
 def start_change_election(state: Core, now: datetime, effects: list) -> Core:
-    """The new one knows the fleet: hold the ballots."""
+    """Start the campaign for a change of the voters, once the new core has the fleet's record."""
     change, copy = state.voter_change, core_copy(state)
     if change is None or state.campaign.stage != 'idle' or not is_primary(state):
         return state
--- a/src/quillstall/controlplane/placement.py
+++ b/src/quillstall/controlplane/placement.py
@@ -1,4 +1,4 @@
-"""Placement of the partitions: which stores are alive, and which moves should be under way."""
+"""Placement of the partitions: which stores are alive, and which reconfigurations should be under way."""
 
 from datetime import datetime, timedelta
 
@@ -18,21 +18,20 @@
 
 MAX_CONCURRENT_REBALANCES = 4
 MAX_CONCURRENT_REPAIRS = 6
-EARLY_TIMEOUT_FRACTION = (
-    0.5  # a store is given up after this part of its time of silence, if others find it silent too
-)
-MIN_SUSPECTING_STORES = 2  # so many of them, and none that hears it
-MIN_REGISTERED_STORES = 3  # with so many live stores, no silent one stays registered
+EARLY_TIMEOUT_FRACTION = 0.5  # of the store timeout, after which peers that agree can give a store up
+MIN_SUSPECTING_STORES = 2  # that give a store up early, if none still reaches it
+MIN_REGISTERED_STORES = 3  # with as many live stores, no silent one stays registered
 
 
 def watchers_of(state: Core, name: str, now: datetime) -> tuple[list[str], list[str]]:
-    """Who watches a node and suspects it, and who watches it and does not: `watchers(state, 's1', now)`."""
+    """Return the watchers of a node that suspect it and those that do not: `watchers_of(state, 's1', now)`."""
     return all_watchers(state, now).get(name, ([], []))
 
 
 def all_watchers(state: Core, now: datetime) -> dict[str, tuple[list[str], list[str]]]:
-    """For each node that is watched, who suspects it and who does not; the silent ones' word is too old to
-    count."""
+    """Return for each watched node the watchers that suspect it and those that do not.
+
+    Reports of watchers that are silent themselves are too old to count."""
     watchers: dict[str, tuple[list[str], list[str]]] = {}
     for watcher in sorted(state.nodes):
         node = state.nodes[watcher]
@@ -45,13 +44,13 @@
 
 
 def live_stores(state: Core, now: datetime) -> list[Node]:
-    """The stores that count as alive. One that is silent is given up when its watchers suspect it
-    too, or when their word for it is old: `stores(state, now)`. With `lone` only other stores' word keeps
-    it: one that routing nodes alone reach can confirm nothing."""
+    """Return the stores that count as alive: `live_stores(state, now)`.
+
+    A silent store is given up when its watchers suspect it too, or when their reports are old. In degraded mode
+    only other stores' reports keep it alive: a store that only routing nodes reach can confirm nothing."""
     known_stores = sorted((n for n in state.nodes.values() if n.role == 'store'), key=lambda n: n.name)
-    if all(
-        now - n.last_heard <= state.store_timeout * EARLY_TIMEOUT_FRACTION for n in known_stores
-    ):  # nobody's word is needed
+    # while every store polls in time, no reports are needed
+    if all(now - n.last_heard <= state.store_timeout * EARLY_TIMEOUT_FRACTION for n in known_stores):
         return known_stores
     reports = all_watchers(state, now)
     return [
@@ -60,9 +59,9 @@
 
 
 def counts_as_alive(state: Core, node: Node, reports: tuple[list[str], list[str]], now: datetime) -> bool:
-    """Whether a store that has been quiet for a while counts as alive, by the words of those that suspect it
-    and of those that do not. Two stores that both find it silent, with none that hears it, are enough to give
-    it up before its own time is over."""
+    """Return whether a silent store counts as alive, from the watchers that suspect it and those that do not.
+
+    Two stores that suspect it, with none that still reaches it, give it up before its timeout."""
     silence = now - node.last_heard
     suspecting, in_contact = ([n for n in names if state.nodes[n].role == 'store'] for names in reports)
     if silence <= state.store_timeout:
@@ -77,17 +76,20 @@
 
 
 def stores_with_lost_disks(state: Core) -> set[str]:
-    """The stores whose disks are certainly lost: an empty one has come up at the address of each. Whoever is
-    only down, frozen or cut off comes back with its disk; meanwhile another store may lose its own."""
+    """Return the stores whose disks are certainly lost: an empty store has started at the address of each.
+
+    A store that is only down, frozen or partitioned off comes back with its disk; meanwhile another may lose
+    its own."""
     if not state.degraded_mode:
         return set()
     return {n for n, row in book.named(confirmed_rows(state), 'member/') if row['state'] == 'replaced'}
 
 
 def min_members(copies: int, missing: list[str], lost_disks: set[str]) -> int:
-    """How many members a partition must have to go on without some: as many copies as there should be, less
-    the disks that are certainly lost among those that are missing. With fewer, the loss of one more disk,
-    which the tolerance may still allow, takes what they have acknowledged.
+    """Return how many members a partition needs to go on without the missing ones.
+
+    That is the replication factor less the disks among them that are certainly lost. With fewer, the loss of one
+    more disk, which the fault tolerance may still allow, would lose acknowledged writes.
 
     >>> min_members(2, ['a'], set()), min_members(2, ['a'], {'a'}), min_members(3, ['a', 'b'], {'b'})
     (2, 1, 2)
@@ -96,8 +98,9 @@
 
 
 def check_members(state: Core, partition: str, replica_set: list, effects: list) -> None:
-    """Whether a replica set that is asked for has as many members as it must have; those that went on being
-    fewer before, where stores are few, may stay so."""
+    """Report a violation if a requested replica set has fewer members than it needs.
+
+    A set that had fewer before, where stores are few, may keep that number."""
     current = confirmed_rows(state).get(f'part/{partition}')
     if current is None or replica_set[1] != current[0]:
         return
@@ -114,7 +117,7 @@
 
 
 def note_store_changes(state: Core, now: datetime, effects: list) -> Core:
-    """Note which stores have been given up, or are back, and on whose word."""
+    """Write to the journal which stores were given up, with those that suspect them, and which are back."""
     live = tuple(n.name for n in live_stores(state, now))
     for name in sorted(set(state.last_live_stores) - set(live)):
         effects.append(
@@ -135,15 +138,16 @@
 
 
 def in_startup_grace(state: Core, now: datetime) -> bool:
-    """Whether this primary is so new that a store it has not heard from may well be there."""
+    """Return whether this primary is so new that a store which it has not heard from may be alive."""
     return state.primary_since is not None and now - state.primary_since < state.store_timeout
 
 
 def plan_reconfigurations(state: Core, now: datetime) -> list[tuple]:
-    """The moves that should be under way: (part, leader, joiner, seat). First the parts that lost a
-    member: it is dropped at once where enough members are left (`least_members`), else as its replacement
-    is filled; then those that lack a copy; then those that should sit elsewhere. A new primary plans nothing but
-    the dropping of disks that are certainly lost until every store has had the time to be heard."""
+    """Return the reconfigurations that should be under way: (partition, leader, joiner, replica set).
+
+    Partitions that lost a member come first: it is dropped at once if enough members remain (`min_members`),
+    else when its replacement has the data. Then come partitions that lack a copy, then those to rebalance. Until
+    every store has had time to report, a new primary only drops disks that are certainly lost."""
     rows = confirmed_rows(state)
     if state.primary_since is None:
         return []
@@ -172,13 +176,13 @@
         remaining = [n for n in responsive if n in eligible]
         missing = [n for n in replica_set.members if n not in responsive]
         if in_grace and not lost_disks.issuperset(missing):
-            continue  # who is only silent may be there
+            continue  # a store that is only silent may be alive
         required = min_members(copies, missing, lost_disks)
         leader = responsive[0]
         candidates = [n for n in apart(partition, eligible, remaining) if n not in replica_set.members]
         candidates.sort(
             key=lambda n: (n in unresponsive, live[n].relayed)
-        )  # last: who may be gone, or cut off
+        )  # last: those that may be down or cut off
         if len(responsive) < len(replica_set.members) and len(remaining) >= required:
             urgent.append((partition, leader, leader, (replica_set.epoch + 1, replica_set.epoch, *remaining)))
         elif len(responsive) < len(replica_set.members) or len(remaining) < len(responsive):
@@ -213,19 +217,19 @@
                 )
     if urgent or in_grace:
         return urgent
-    offset = (
-        int(now.timestamp()) * MAX_CONCURRENT_REPAIRS % max(1, len(repairs))
-    )  # one that hangs must not hold up the rest
+    # rotated, so that repairs which hang do not block the others
+    offset = int(now.timestamp()) * MAX_CONCURRENT_REPAIRS % max(1, len(repairs))
     return (repairs[offset:] + repairs[:offset])[:MAX_CONCURRENT_REPAIRS] or rebalances[
         :MAX_CONCURRENT_REBALANCES
     ]
 
 
 def failed_members(replica_set: Seat, live: dict[str, Node], unresponsive: set[str] | None) -> set[str]:
-    """The members to do without, where the primary says that the partition stands still and for whose
-    confirmation it waits (`mute`); nobody where it says nothing. Members that reach the core through a peer
-    only are cut off, and the others' word counts: a partition that works is left as it is even then, as the
-    core's own link may be what is full.
+    """Return the members to drop from a partition that its primary reports as stalled; none without a report.
+
+    `unresponsive` are the members whose confirmation the primary waits for. Members that reach the core only
+    through a peer are cut off, and the reports of the others count. A partition that works is left as it is even
+    then, since the core's own link may be the congested one.
 
     >>> node = Node('a', 'store', '1:1', 'z', 1)
     >>> live, replica_set = {'a': node, 'b': node._replace(relayed=True)}, Seat(2, 1, 'a', 'b')
@@ -240,15 +244,16 @@
     if relayed and any(n in live and n not in relayed for n in replica_set.members):
         return relayed
     if not unresponsive and len(replica_set.members) > 1:
-        return {replica_set.primary}  # all confirm and it stands still: its own disk
+        return {replica_set.primary}  # all others confirm, so its own disk is stalled
     return unresponsive
 
 
 def with_missing_members(
     members: list[str], missing: list[str], required: int, lost_disks: set[str]
 ) -> list[str]:
-    """Members with as many missing ones kept among them as it takes to be enough: with those nothing is
-    acknowledged until they are back or replaced one by one.
+    """Return the members with as many missing ones kept as are required.
+
+    With those nothing is acknowledged until they are back or have been replaced one by one.
 
     >>> with_missing_members(['a', 'd'], ['b', 'c'], 3, set()), with_missing_members(['a', 'd'], ['b', 'c'], 2, {'b'})
     (['a', 'd', 'b'], ['a', 'd'])
@@ -260,8 +265,9 @@
 def rebalancing_step(
     partition: str, replica_set: Seat, eligible: dict[str, str], copies: int
 ) -> list[str] | None:
-    """The members of a part after one step towards where it should sit, the joiner last; None if it sits
-    well, or the step would bring its copies into fewer zones.
+    """Return a partition's members after one step towards its preferred stores, the joiner last.
+
+    None if it is on its preferred stores, or if the step would leave its copies in fewer zones.
 
     >>> zones = {'a': 'x', 'b': 'y', 'c': 'z'}
     >>> preferred = apart('p00', zones)[:2]; other = next(n for n in zones if n not in preferred)
@@ -283,8 +289,8 @@
 
 
 def desired_register(state: Core, now: datetime) -> dict:
-    """The stores that should be registered: those that live, and, where they are fewer than three,
-    the registered ones that may come back."""
+    """Return the stores that the register should hold, with their addresses: the live ones and, if they are fewer
+    than three, registered ones that may come back."""
     known = {n: r['address'] for n, r in book.named(confirmed_rows(state), 'member/') if r['state'] == 'in'}
     live = [n.name for n in live_stores(state, now) if n.name in known]
     absent = [n for n in current_register(state)['now'] if n in known and n not in live]
--- a/src/quillstall/controlplane/status.py
+++ b/src/quillstall/controlplane/status.py
@@ -1,4 +1,4 @@
-"""What a core process tells of the fleet."""
+"""Status reports of a core process."""
 
 from datetime import datetime, timedelta
 
@@ -18,7 +18,7 @@
 
 
 def describe_process(state: Core) -> dict:
-    """What anyone may know: the fleet and who is thought to be primary: `who(state)`."""
+    """Return the fleet and the primary as this process knows them: `describe_process(state)`."""
     copy, replica_set = core_copy(state), newest_replica_set(state)
     return {
         'ok': True,
@@ -34,38 +34,39 @@
 
 
 def status(state: Core, now: datetime, rows: Map | None = None) -> dict:
-    """What this process knows of the fleet, its rows by themselves or as they were confirmed:
-    `status(state, now)`."""
+    """Return this process's view of the fleet, from its own committed rows or those given: `status(state, now)`."""
     rows = confirmed_rows(state) if rows is None else rows
     registered = rows.get('register') or register.NEVER
     copy = core_copy(state)
     nodes = {}
     generation = rows.get('gen', 0)
-    for n in state.nodes.values():
-        silence = now - n.last_heard
+    for node in state.nodes.values():
+        silence = now - node.last_heard
         cause = ''
-        if n.role == 'route' and n.generation < generation:
+        if node.role == 'route' and node.generation < generation:
             cause = (
                 'its lease has run out'
-                if not (n.lease_end and n.lease_end > now)
+                if not (node.lease_end and node.lease_end > now)
                 else 'has not yet polled for it'
             )
-        nodes[n.name] = {
-            'role': n.role,
-            'address': n.address,
-            'zone': n.zone,
-            'inc': n.incarnation,
-            'generation': n.generation,
+        nodes[node.name] = {
+            'role': node.role,
+            'address': node.address,
+            'zone': node.zone,
+            'inc': node.incarnation,
+            'generation': node.generation,
             'silent_ms': silence // timedelta(milliseconds=1),
-            'lease': bool(n.lease_end and n.lease_end > now),
+            'lease': bool(node.lease_end and node.lease_end > now),
             'behind': cause,
-            'watches': list(n.watched_peers),
-            'suspects': list(n.suspected_peers),
-            'stuck': list(n.stalled_partitions),
-            'pressure': n.demand,
-            'facts': n.diagnostics,
-            'clock_ms': round((n.diagnostics['clock'] - (n.last_heard + state.wall_ahead).timestamp()) * 1000)
-            if 'clock' in n.diagnostics
+            'watches': list(node.watched_peers),
+            'suspects': list(node.suspected_peers),
+            'stuck': list(node.stalled_partitions),
+            'pressure': node.demand,
+            'facts': node.diagnostics,
+            'clock_ms': round(
+                (node.diagnostics['clock'] - (node.last_heard + state.wall_ahead).timestamp()) * 1000
+            )
+            if 'clock' in node.diagnostics
             else None,
         }
     members = {
