--- a/features/clocks.feature
+++ b/features/clocks.feature
@@ -21,8 +21,8 @@
 
   Scenario Outline: a store that started while its wall clock was <seconds> s off keeps turns by the wall clock
     Given a store whose steady clock reads <seconds> s more than the wall clock
-    When it keeps a turn for 60 s
-    Then the turn is kept until the wall clock has moved by 60 s
+    When it retains a turn for 60 s
+    Then the turn is retained until the wall clock has moved by 60 s
 
     Examples:
       | seconds |
--- a/features/invariants.feature
+++ b/features/invariants.feature
@@ -1,7 +1,7 @@
 Feature: Promises that the code checks while it runs
 
-  A violation is counted under its name, noted with what is known of it, and stops nothing. In every other scenario one fails
-  the scenario; here each is brought about on purpose.
+  A violation is counted under its name and written to the journal with its facts; it stops nothing. In all other scenarios a
+  violation fails the scenario; here each is caused on purpose.
 
   Scenario: an event that the owner of the admission table fails on is dropped, a task is refused, the node serves on
     Given 1 node and the replicas "a"
@@ -49,7 +49,7 @@
       | fails by an exception |
 
   Scenario: a copy that loses changes is seen
-    When a copy of a partition is put back by two changes
+    When a copy of a partition is rolled back by two changes
     Then "copy_forward" was found among the effects
 
   Scenario Outline: a replica set with <members> of <copies> members, <lost> lost disks among the missing, is <verdict>
--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -1,4 +1,4 @@
-"""Steps that break a promise on purpose, so that the check which the code makes of it is seen to find it."""
+"""Steps that violate an invariant on purpose, to show that the check of it in the code reports the violation."""
 
 from datetime import UTC, datetime
 
@@ -17,53 +17,53 @@
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
 
 
-def break_step(context, kind, change):
-    """The next step on an event of a kind gives what `change` makes of it; later ones are as they were."""
-    step, left = reducer.step, [True]
+def break_next_step(context, event_class, change):
+    """Replace the reducer's next step on an event of a class by `change`; later steps are unchanged."""
+    step, remaining = reducer.step, [True]
 
-    def broken(state, happening, now):
-        if type(happening) is kind and left:
-            left.pop()
-            return change(step, state, happening, now)
-        return step(state, happening, now)
+    def broken(state, incoming, now):
+        if type(incoming) is event_class and remaining:
+            remaining.pop()
+            return change(step, state, incoming, now)
+        return step(state, incoming, now)
 
     reducer.step = broken
     context.add_cleanup(setattr, reducer, 'step', step)
 
 
 @when('the admission table fails on the next task')
-def step_fails(context):
+def admission_step_fails(context):
     context.meant_violations = ('owner_step',)
 
-    def fail(step, state, happening, now):
+    def fail(step, state, incoming, now):
         raise KeyError('gone')
 
-    break_step(context, Arrive, fail)
+    break_next_step(context, Arrive, fail)
     context.got = context.story.run(context.story.ask('/any/x'))
 
 
 @when('the admission table goes back to an older generation')
-def generation_back(context):
+def generation_goes_back(context):
     context.meant_violations = ('generation_forward',)
 
-    def back(step, state, happening, now):
+    def go_back(step, state, incoming, now):
         return state._replace(generation=state.generation - 1), ()
 
-    break_step(context, Tick, back)
+    break_next_step(context, Tick, go_back)
     story = context.story
     story.run(until(lambda: context.violations))
 
 
 @when('the admission table gives a slot back twice')
-def slot_twice(context):
+def slot_given_back_twice(context):
     context.meant_violations = ('slots_balance',)
 
-    def twice(step, state, happening, now):
-        run = state.runs[happening.name]
-        again, _ = step(state, happening, now)
-        return again._replace(used=again.used.set(run.replica, -1)), ()
+    def give_back_twice(step, state, incoming, now):
+        run = state.runs[incoming.name]
+        after, _ = step(state, incoming, now)
+        return after._replace(used=after.used.set(run.replica, -1)), ()
 
-    break_step(context, Leave, twice)
+    break_next_step(context, Leave, give_back_twice)
     story = context.story
     story.run(story.ask('/any/x'))
     story.run(until(lambda: context.violations))
@@ -72,7 +72,7 @@
 
 
 class MistakenRoute(dict):
-    """A route of work that runs once, which is taken for one that may be repeated as its attempts begin."""
+    """A route of requests that run once, whose first two reads say that requests may be repeated."""
 
     reads = 0
 
@@ -84,26 +84,26 @@
 
 
 @when('the gateway takes its route for one that may be repeated, and the first answer is lost')
-def sent_again(context):
+def sent_twice(context):
     context.meant_violations = ('sent_once',)
     story, gateway = context.story, context.story.nodes[0].gateway
     route = gateway.route
 
-    def mistaken(request):
-        name, row = route(request)
-        return name, MistakenRoute(row, attempts=2)
+    def misrouted(request):
+        name, settings = route(request)
+        return name, MistakenRoute(settings, attempts=2)
 
-    gateway.route = mistaken
+    gateway.route = misrouted
     story.plan.extend(['close', 'answer'])
     story.run(story.ask('/once/x'))
     gateway.route = route
 
 
 @when('the gateway tells "shed" of a request that may have run')
-def refusal_after_run(context):
+def refused_after_run(context):
     context.meant_violations = ('refused_after_send',)
     story, gateway = context.story, context.story.nodes[0].gateway
-    plain = gateway.plain
+    original = gateway.plain
 
     async def refusing(name, route, request, start, deadline, out):
         out.may_have_run = True
@@ -111,7 +111,7 @@
 
     gateway.plain = refusing
     story.run(story.ask('/once/x'))
-    gateway.plain = plain
+    gateway.plain = original
 
 
 @when('the gateway takes every answer for its own, and a replica sends an old one')
@@ -126,16 +126,16 @@
 
 
 @when('a replica sends one event of a stream twice')
-def event_twice(context):
+def event_sent_twice(context):
     context.meant_violations = ('event_order',)
     story = context.story
     replica = story.replicas['a']
-    stream = replica.stream
+    original = replica.stream
 
     async def doubled(writer, run, act, count):
-        heads = {**replica.heads(run), 'Content-Type': 'text/event-stream', 'Transfer-Encoding': 'chunked'}
+        headers = {**replica.heads(run), 'Content-Type': 'text/event-stream', 'Transfer-Encoding': 'chunked'}
         await writer.write(
-            ('HTTP/1.1 200 Said\r\n' + ''.join(f'{n}: {v}\r\n' for n, v in heads.items()) + '\r\n').encode()
+            ('HTTP/1.1 200 Said\r\n' + ''.join(f'{n}: {v}\r\n' for n, v in headers.items()) + '\r\n').encode()
         )
         for number in (1, 1, 2):
             data = event(run.ident, number)
@@ -145,7 +145,7 @@
 
     replica.stream = doubled
     context.got = story.run(story.turn('t1'))
-    replica.stream = stream
+    replica.stream = original
 
 
 @then('the stream is cut after the first, "{name}" was violated once, and the node serves the next one')
@@ -155,16 +155,16 @@
 
 
 @when('the function of a request {how}')
-def no_end(context, how):
+def request_without_end(context, how):
     context.meant_violations = ('request_ended',)
     story, gateway = context.story, context.story.nodes[0].gateway
     handler = gateway.listener.handler
 
-    async def odd(call, out):
+    async def unfinished(call, out):
         if how.startswith('fails'):
             raise LookupError('a test')
 
-    gateway.listener.handler = odd
+    gateway.listener.handler = unfinished
     context.got = story.run(story.ask('/any/x'))
     gateway.listener.handler = handler
 
@@ -176,7 +176,7 @@
 
 
 @then('the caller is told {status:d}, "{name}" was violated once, and the node serves the next one')
-def told_and_violated(context, status, name):
+def refused_and_violated(context, status, name):
     assert context.got.status == status, context.got.status
     violated_once(context, name)
 
@@ -190,15 +190,15 @@
     assert got.status == 200, got.status
 
 
-# ---- reducers
+# ---- the reducers of replica groups and of the core
 
 
-def names_of(effects):
+def violations_in(effects):
     return [effect.name for effect in effects if type(effect) is Violated]
 
 
-@when('a copy of a partition is put back by two changes')
-def copy_back(context):
+@when('a copy of a partition is rolled back by two changes')
+def copy_rolled_back(context):
     copy = Copy('p', Seat(2, 1, 'a', 'b'), seq=7, full=True)
     box = group.Box(group.State('a', Map({'p': copy})), NOW, None)
     box.put(copy._replace(seq=5))
@@ -208,7 +208,7 @@
 @when(
     'the core is asked for a replica set of {members:d} in the place of {before:d}, with {lost:d} lost disks, {copies:d} copies'
 )
-def ask_members(context, members, before, lost, copies):
+def request_members(context, members, before, lost, copies):
     names = ['a', 'b', 'c'][:before]
     missing = names[members:]
     rows = {f'member/{n}': {'state': 'replaced' if n in missing[:lost] else 'in'} for n in names}
@@ -228,12 +228,12 @@
 
 
 @then('the check of "{name}" finds it {verdict}')
-def is_violated(context, name, verdict):
-    assert names_of(context.effects) == ([name] if verdict == 'violated' else []), context.effects
+def check_finds(context, name, verdict):
+    assert violations_in(context.effects) == ([name] if verdict == 'violated' else []), context.effects
 
 
 @when('a core that has acknowledged generation {acked:d} shows generation {shown:d}')
-def shows_older(context, acked, shown):
+def show_older_generation(context, acked, shown):
     copy = Copy('core', Seat(1, 0, 'c1'), full=True, ready=True, rows=Map({'gen': shown}))
     fleet = {'id': 'f', 'witnesses': (('c1', '1:1'),), 'epoch': 1, 'seat': [1, 0, 'c1']}
     state = core_state.Core(
@@ -247,10 +247,10 @@
         primary_since=NOW,
     )
     context.effects = []
-    ret = {'ok': True, 'rows': Map({'gen': shown})}
-    core.finish_command(state, Done(('c', 'show', 1), ret), NOW, context.effects)
+    reply = {'ok': True, 'rows': Map({'gen': shown})}
+    core.finish_command(state, Done(('c', 'show', 1), reply), NOW, context.effects)
 
 
 @then('"{name}" was found among the effects')
-def among(context, name):
-    assert names_of(context.effects) == [name], context.effects
+def found_in_effects(context, name):
+    assert violations_in(context.effects) == [name], context.effects
--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -14,8 +14,8 @@
 
 STORE_TIMEOUT = timedelta(milliseconds=2000)
 PARTITIONS = 24
-PEER_REPORT_VALIDITY = timedelta(milliseconds=5000)  # so long peers can vouch for a silent store
-RECENT_POLL = timedelta(milliseconds=1500)
+PEER_REPORT_VALIDITY = timedelta(milliseconds=5000)  # of peers' reports that a silent store is reachable
+RECENT_POLL = timedelta(milliseconds=1500)  # the reports of nodes that polled within this time count
 
 
 class Node(NamedTuple):
@@ -35,7 +35,7 @@
     last_heard: datetime | None = None
     lease_end: datetime | None = None
     demand: dict = {}
-    reported_slots: dict = {}
+    reported_slots: dict = {}  # replica -> (slots that it may use, slots in use)
     stalled_partitions: tuple = ()
     diagnostics: dict = {}
     suspected_peers: tuple = ()
@@ -126,15 +126,15 @@
     started_at: datetime | None = None
     voter_change: Any = None  # a VoterChange under way
     cores_polled_at: datetime | None = None
-    formation_replies: Map = Map()
+    formation_replies: Map = Map()  # by seed and ('ok', member); 'told': other cores have a fleet
     next_join_request: datetime | None = None
     nodes: Map = Map()
     pending_polls: tuple = ()
     pending_changes: tuple = ()
     primary_since: datetime | None = None
     held_slots: Map = Map()  # routing node -> replica -> slots that it may still be using
-    allocations: dict = {}
-    allocated_demand: dict = {}
+    allocations: dict = {}  # replica -> routing node -> slots
+    allocated_demand: dict = {}  # pool -> routing node -> demand of the last allocation
     allocated_at: datetime | None = None
     rng_state: int = 1
     partition_count: int = PARTITIONS
--- a/src/quillstall/controlplane/leases.py
+++ b/src/quillstall/controlplane/leases.py
@@ -233,7 +233,7 @@
         reply['listing_seen'] = listing.to_wire(seen, now)  # confirms that the node's list is current
     peers = peers_to_watch(node.name, shared.watchable, tuple(sorted(shared.stores)))
     reply['peers'] = {n: shared.addresses[n] for n in peers}
-    reply['watched'] = [n for n in peers if n in shared.stores]  # routing nodes need no failure detection
+    reply['watched'] = [n for n in peers if n in shared.stores]  # only the liveness of stores is checked
     lease_end = node.lease_end
     if node.role == 'route':
         reply['allot'] = allocation_of(state, node.name, now)
