--- a/features/losses.feature
+++ b/features/losses.feature
@@ -3,9 +3,9 @@
   Scenario Outline: a leaving store is completed only when every partition has all copies elsewhere, <stores> stores, <moment>, seed <seed>
     Given the deployment "cartalume" with <stores> stores and 3 cores that bears 1 losses, seed <seed>
     When a store is to be retired, and another loses its power for 5 seconds <moment>
-    Then it is completed, and each time it was so, every partition had 2 copies on other live stores
+    Then it is completed, and whenever it was, every partition had 2 copies on other live stores
     And once completed it stays completed
-    And the register has a settled majority without it
+    And the register has a confirmed majority without it
 
     Examples:
       | stores | moment                    | seed |
@@ -36,17 +36,17 @@
   Scenario: a store that is to leave and loses its disk is still to leave
     Given the deployment "cartalume" with 4 stores and 3 cores that bears 1 losses, seed 35
     When a store is to be retired, loses its disk at once and comes back empty
-    Then the one that lives there now is emptied and completed
+    Then the store that runs there now is emptied and its retirement completed
 
   Scenario: a register of two stores is left by one that lost its disk
     Given the deployment "cartalume" with 3 stores and 3 cores that bears 1 losses, seed 36
-    When a store is retired and taken away, and of the two that are left one loses its disk and comes back
-    Then a change is acknowledged while one is away, and the register holds the two that live
+    When a store is retired and taken away, and of the two remaining ones one loses its disk and comes back
+    Then a change is acknowledged while one is away, and the register holds the two live stores
 
   Scenario Outline: a core that is told to stop hands over first, <which>, seed <seed>
     Given the deployment "cartalume" with 3 stores and <cores> cores that bears 1 losses, seed <seed>
     When the core's <which> is told to stop and ends
-    Then it ended within 2 seconds, and a change sent as it ends is taken within <seconds> seconds
+    Then it ended within 2 seconds, and a change sent as it ends is accepted within <seconds> seconds
     And the core has 2 copies and 3 voters, and none of the copies is the one that ended
 
     Examples:
@@ -65,7 +65,7 @@
   Scenario Outline: a voter that is gone for good is replaced by one that waits, <which>, seed <seed>
     Given the deployment "cartalume" with 3 stores and 4 cores that bears 1 losses, seed <seed>
     When the core's <which> is gone for good while another core waits
-    Then within <seconds> seconds the other is a voter in its place, before the next loss may come
+    Then within <seconds> seconds the other is a voter in its place, before the next tolerated loss
 
     Examples:
       | which      | seconds | seed |
@@ -98,13 +98,13 @@
 
   Scenario: a store is away with its disk, and the one that served on loses its own
     Given the deployment "cartalume" with 3 stores and 3 cores that bears 1 losses, seed 63
-    When a store loses its power, the primary of its partitions takes work and loses its disk, and both come back
-    Then the work that was acknowledged is known
+    When a store loses its power, the primary of its partitions accepts a keyed operation and loses its disk, and both come back
+    Then the acknowledged keyed operation is known
 
   Scenario Outline: overlapping losses with one lost disk, the first store <loss>, <stores> stores, seed <seed>
     Given the deployment "cartalume" with <stores> stores and 3 cores that bears 1 losses, seed <seed>
-    When a store <loss>, the primary of its partitions takes work and loses its disk, and both come back
-    Then the work that was acknowledged is known
+    When a store <loss>, the primary of its partitions accepts a keyed operation and loses its disk, and both come back
+    Then the acknowledged keyed operation is known
 
     Examples:
       | loss                             | stores | seed |
@@ -128,10 +128,10 @@
 
   Scenario Outline: <losses> disks are lost, <where>, as every other machine loses its power, seed <seed>
     Given the deployment "hipotecalc" with <stores> stores and <cores> cores that bears <losses> losses, seed <seed>
-    When a change and work are acknowledged, and at once <losses> machines lose their disks, <where>, and all others their power
+    When a change and a keyed operation are acknowledged, and at once <losses> machines lose their disks, <where>, and all others their power
     Then the change that was acknowledged is shown once all are back
-    And the work that was acknowledged is known
-    And every machine that routes serves again within 15 seconds
+    And the acknowledged keyed operation is known
+    And every routing node serves again within 15 seconds
 
     Examples:
       | losses | stores | cores | where             | seed |
@@ -144,12 +144,12 @@
   Scenario: a new primary of the core drops lost disks at once, and waits for stores that are only silent
     Given a core that has just become primary, with a partition on "a", "b" and "c", of which "c" was replaced by an empty store
     When "a" has polled
-    Then no move is planned
+    Then no reconfiguration is planned
     When "b" has polled
-    Then the one move that is planned drops "c"
+    Then the only planned reconfiguration drops "c"
     Given a core that has just become primary, with a partition on "a", "b" and "c", of which none was replaced by an empty store
     When "a" has polled
     And "b" has polled
-    Then no move is planned
+    Then no reconfiguration is planned
     When 2 seconds pass in which "a" and "b" poll
-    Then the one move that is planned brings another store in place of "c"
+    Then the only planned reconfiguration adds another store in place of "c"
--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -72,7 +72,7 @@
 
 
 class MistakenRoute(dict):
-    """A route of requests that run once, whose first two reads say that requests may be repeated."""
+    """A route of requests that run once, whose first two lookups of `repeat` say that they may be repeated."""
 
     reads = 0
 
