--- a/features/invariants.feature
+++ b/features/invariants.feature
@@ -20,17 +20,17 @@
 
   Scenario: work that may not repeat and is offered again is seen
     Given 1 node and the replicas "a b"
-    When the gateway takes its route for one that may be repeated, and the first answer is lost
+    When the gateway mistakes its route for a repeatable one, and the first answer is lost
     Then "sent_once" was violated once, and the node serves the next one
 
   Scenario: a refusal after an attempt that may have run is seen
     Given 1 node and the replicas "a"
-    When the gateway tells "shed" of a request that may have run
+    When the gateway reports "shed" for a request that may have run
     Then "refused_after_send" was violated once, and the node serves the next one
 
   Scenario: an answer to another request is seen
     Given 1 node and the replicas "a"
-    When the gateway takes every answer for its own, and a replica sends an old one
+    When the gateway accepts every answer as its own, and a replica sends an old one
     Then "answer_owner" was violated once, and the node serves the next one
 
   Scenario: events that do not rise are seen, and the stream is cut
@@ -40,7 +40,7 @@
 
   Scenario Outline: a request that <how> is seen, and its connection is cut
     Given 1 node and the replicas "a"
-    When the function of a request <how>
+    When the handler of a request <how>
     Then the connection is cut, "request_ended" was violated once, and the node serves the next one
 
     Examples:
--- a/features/steps/clocks.py
+++ b/features/steps/clocks.py
@@ -95,13 +95,13 @@
     context.store = renew_lease(state, 3, EPOCH)
 
 
-@when('it takes generation 4 and renews the lease of the same node one second later')
+@when('it adopts generation 4 and renews the lease of the same node one second later')
 def second_renewal(context):
     state = context.store._replace(word=Word(4, 1))
     context.store = renew_lease(state, 3, EPOCH + timedelta(seconds=1))
 
 
-@then('it tells the core of both leases until each has run out')
+@then('it reports both leases to the core until each has expired')
 def both_leases_reported(context):
     one_second, state = timedelta(seconds=1), context.store
     assert store.leases(state, EPOCH + one_second) == [['n1', 3, 1550], ['n1', 4, 2550]]
--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -83,7 +83,7 @@
         return 'any' if self.reads <= 2 else 'once'
 
 
-@when('the gateway takes its route for one that may be repeated, and the first answer is lost')
+@when('the gateway mistakes its route for a repeatable one, and the first answer is lost')
 def sent_twice(context):
     context.meant_violations = ('sent_once',)
     story, gateway = context.story, context.story.nodes[0].gateway
@@ -99,7 +99,7 @@
     gateway.route = route
 
 
-@when('the gateway tells "shed" of a request that may have run')
+@when('the gateway reports "shed" for a request that may have run')
 def refused_after_run(context):
     context.meant_violations = ('refused_after_send',)
     story, gateway = context.story, context.story.nodes[0].gateway
@@ -114,7 +114,7 @@
     gateway.plain = original
 
 
-@when('the gateway takes every answer for its own, and a replica sends an old one')
+@when('the gateway accepts every answer as its own, and a replica sends an old one')
 def foreign_answer(context):
     context.meant_violations = ('answer_owner',)
     story, gateway = context.story, context.story.nodes[0].gateway
@@ -154,7 +154,7 @@
     violated_once(context, name)
 
 
-@when('the function of a request {how}')
+@when('the handler of a request {how}')
 def request_without_end(context, how):
     context.meant_violations = ('request_ended',)
     story, gateway = context.story, context.story.nodes[0].gateway
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -324,12 +324,12 @@
                 break
         return answer, status
 
-    context.answer, context.status = context.play(script)
+    context.change_answer, context.status = context.play(script)
 
 
 @then('a change is acknowledged while one is away, and the register holds the two live stores')
 def register_of_live_stores(context):
-    assert context.answer[0] == 200, context.answer
+    assert context.change_answer[0] == 200, context.change_answer
     register_row, nodes = context.status['register'], context.status['nodes']
     assert not register_row['old'] and len(register_row['now']) == 2, register_row
     assert all(n in nodes and nodes[n]['silent_ms'] < 1000 for n in register_row['now']), (
@@ -402,21 +402,21 @@
         await town.sleep(0 if returned else 1)
         if not returned:
             absent.end()
-        repeated, _ = await begin_keyed(town, partition, 'second', 30)
-        return state, repeated
+        second_begin, _ = await begin_keyed(town, partition, 'second', 30)
+        return state, second_begin
 
-    context.acknowledged, context.repeated = context.play(script)
+    context.acknowledged, context.second_begin = context.play(script)
 
 
 @then('the acknowledged keyed operation is known')
 def operation_known(context):
     # without an acknowledgement the operation may be known or not, but the partition serves again
     if context.acknowledged is None:
-        assert context.repeated in ('fresh', 'begun'), context.repeated
+        assert context.second_begin in ('fresh', 'begun'), context.second_begin
     else:
-        assert (context.acknowledged, context.repeated) == ('fresh', 'begun'), (
+        assert (context.acknowledged, context.second_begin) == ('fresh', 'begun'), (
             context.acknowledged,
-            context.repeated,
+            context.second_begin,
         )
 
 
@@ -504,16 +504,16 @@
                 node and node.seats and admission_state.leased(node.state, town.clock.now()) for node in nodes
             ):
                 serving = (town.clock.now() - started).total_seconds()
-        repeated, _ = await begin_keyed(town, partition, 'second', 30)
+        second_begin, _ = await begin_keyed(town, partition, 'second', 30)
         shown = (0, None)
         for _ in range(60):
             shown = await town.ask('GET', '/v1/policy', limit=2)
             if shown[0] == 200:
                 break
             await town.sleep(0.5)
-        return (answer, shown), state, repeated, serving
+        return (answer, shown), state, second_begin, serving
 
-    context.policies, context.acknowledged, context.repeated, context.serving = context.play(script)
+    context.policies, context.acknowledged, context.second_begin, context.serving = context.play(script)
     assert context.acknowledged == 'fresh', context.acknowledged
 
 
--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -177,23 +177,23 @@
     >>> load('c1', s, {}, 1, datetime(2026, 1, 1, tzinfo=UTC)).fleet is None
     True
     """
-    own = rows.get('', {})
-    state = group.load(me, rows, count, beats=True)
-    copy = state.parts.get('core')
+    process_rows = rows.get('', {})
+    copies = group.load(me, rows, count, beats=True)
+    copy = copies.parts.get('core')
     if copy:
-        state = state._replace(parts=state.parts.set('core', copy._replace(heard=now)))
-    acceptor = ballot.load(own)
+        copies = copies._replace(parts=copies.parts.set('core', copy._replace(heard=now)))
+    acceptor = ballot.load(process_rows)
     campaign = ballot.Campaign(seen=max(acceptor.promised, copy.seat.epoch if copy and copy.seat else 0))
     return Core(
         me,
         startup['address'],
         startup['zone'],
         tuple(startup['seeds']),
-        state,
+        copies,
         acceptor,
         campaign,
-        own.get('fleet'),
-        own.get('forming'),
+        process_rows.get('fleet'),
+        process_rows.get('forming'),
         rng_state=initial_rng_state(me, count),
         partition_count=startup.get('parts', PARTITIONS),
         started_at=now,
--- a/src/quillstall/controlplane/leases.py
+++ b/src/quillstall/controlplane/leases.py
@@ -111,30 +111,30 @@
     """Return the fields that the answers to all these nodes share: `collect_shared(state, ['n1', 's1'], now)`."""
     polling = [state.nodes[name] for name in names if name in state.nodes]
     addresses: dict = {}
-    stores, alive, live = [], [], {node.name for node in polling if node.role == 'route'}
+    stores, recent, leased = [], [], {node.name for node in polling if node.role == 'route'}
     for node in state.nodes.values():
         silence = now - node.last_heard
         if silence <= RECENT_POLL:
-            alive.append(node)
+            recent.append(node)
         if silence <= PEER_REPORT_VALIDITY:
             addresses[node.name] = node.address
             if node.role == 'store':
                 stores.append(node.name)
         if node.role == 'route' and node.lease_end and node.lease_end > now:
-            live.add(node.name)
-    suspect_replicas = {replica for node in alive for replica in node.suspect_replicas}
-    failing = pooled_failures.failing(alive)
+            leased.add(node.name)
+    suspect_replicas = {replica for node in recent for replica in node.suspect_replicas}
+    failing = pooled_failures.failing(recent)
     return SharedAnswer(
-        len(live),
+        len(leased),
         addresses,
         tuple(sorted(addresses)),
         frozenset(stores),
         tuple(sorted(suspect_replicas)),
         failing,
-        pooled_failures.shunned(alive) if suspect_replicas or failing else (),
+        pooled_failures.shunned(recent) if suspect_replicas or failing else (),
         {
             replica: report['well']
-            for node in alive
+            for node in recent
             for replica, report in node.probe_reports.items()
             if replica in suspect_replicas
         },
