--- a/src/quillstall/controlplane/core.py
+++ b/src/quillstall/controlplane/core.py
@@ -215,7 +215,7 @@
         effects.append(Return(event.call, {'ok': True}))
         return state
     if kind == 'swap':
-        return membership.request_voter_change(state, event, now, effects)
+        return membership.begin_voter_change(state, event, now, effects)
     if kind == 'hand_over':
         return membership.hand_over(state, event, now, effects)
     command = {k: v for k, v in message.items() if k not in ('k', 'at')}
--- a/src/quillstall/controlplane/membership.py
+++ b/src/quillstall/controlplane/membership.py
@@ -19,11 +19,9 @@
 from quillstall.runtime.errors import Fault
 
 MEMBER_TIMEOUT = timedelta(milliseconds=1200)  # of silence between members before one campaigns
-MAX_REMOVED_VOTERS = 50
+MAX_REMOVED_VOTERS = 50  # remembered in the fleet record
 RECENT_REPLY = timedelta(seconds=2)  # a core that replied within this time may get a copy
-CORES_POLLED_WITHIN = timedelta(
-    milliseconds=1500
-)  # a new primary has polled all cores; live ones have replied
+CORES_POLLED_WITHIN = timedelta(milliseconds=1500)  # of a new primary; live cores have replied by then
 CORE_TIMEOUT_FACTOR = 3  # a core is replaced after this multiple of the store timeout
 
 
@@ -147,7 +145,7 @@
     return state._replace(campaign=campaign)
 
 
-def request_voter_change(state: Core, event: Told, now: datetime, effects: list) -> Core:
+def begin_voter_change(state: Core, event: Told, now: datetime, effects: list) -> Core:
     """Handle an operator's request to replace a core by another; it is answered when the change ends."""
     message, voters = event.message, current_voters(state)
     removed = next((n for n, a in voters if message['name'] in (n, a)), None)
@@ -196,9 +194,9 @@
                 )
                 return state._replace(voter_change=VoterChange(None, name, candidate[0], address, now))
         available = [
-            (a, g)
-            for a, g in sorted(state.waiting_cores.items())
-            if a not in dict(voters).values() and g[0] not in dict(voters)
+            (address, core)
+            for address, core in sorted(state.waiting_cores.items())
+            if address not in dict(voters).values() and core[0] not in dict(voters)
         ]
         if available and len(voters) < 2 * state.tolerated_losses + 1:
             address, candidate = available[0]
--- a/src/quillstall/controlplane/placement.py
+++ b/src/quillstall/controlplane/placement.py
@@ -180,9 +180,7 @@
         required = min_members(copies, missing, lost_disks)
         leader = responsive[0]
         candidates = [n for n in apart(partition, eligible, remaining) if n not in replica_set.members]
-        candidates.sort(
-            key=lambda n: (n in unresponsive, live[n].relayed)
-        )  # last: those that may be down or cut off
+        candidates.sort(key=lambda n: (n in unresponsive, live[n].relayed))  # may be down or cut off: last
         if len(responsive) < len(replica_set.members) and len(remaining) >= required:
             urgent.append((partition, leader, leader, (replica_set.epoch + 1, replica_set.epoch, *remaining)))
         elif len(responsive) < len(replica_set.members) or len(remaining) < len(responsive):
--- a/src/quillstall/controlplane/status.py
+++ b/src/quillstall/controlplane/status.py
@@ -92,7 +92,7 @@
         'parts': {p: list(s) for p, s in book.named(rows, 'part/')},
         'plans': [list(p) for p in placement.plan_reconfigurations(state, now)] if is_primary(state) else [],
         'core': [list(w) for w in current_voters(state)],
-        'guests': {a: g[0] for a, g in sorted(state.waiting_cores.items())},
+        'guests': {address: core[0] for address, core in sorted(state.waiting_cores.items())},
         'register': registered,
         'waits': [w.generation for w in state.pending_changes],
         'allot': state.allocations,
