--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -1,4 +1,4 @@
-"""What a core process knows: its records, the state after a start, and the plain questions asked of it."""
+"""The state of a core process: its records, how it is loaded after a start, and simple queries on it."""
 
 from datetime import datetime, timedelta
 from typing import Any, NamedTuple
@@ -12,14 +12,14 @@
 from quillstall.replication.register import LEASE
 from quillstall.runtime.clock import of_ms
 
-STORE_SILENT = timedelta(milliseconds=2000)
-PARTS = 24
-VOUCHED = timedelta(milliseconds=5000)  # how long watchers' word keeps a silent store
-FRESH = timedelta(milliseconds=1500)
+STORE_TIMEOUT = timedelta(milliseconds=2000)
+PARTITIONS = 24
+PEER_REPORT_VALIDITY = timedelta(milliseconds=5000)  # of peers' reports that a silent store is reachable
+RECENT_POLL = timedelta(milliseconds=1500)  # the reports of nodes that polled within this time count
 
 
 class Node(NamedTuple):
-    """A routing node or a store, as its polls show it.
+    """A routing node or a store, as it reported itself with its last poll.
 
     >>> Node('n1', 'route', '127.0.0.1:1', 'z1', 1).generation
     0
@@ -29,32 +29,32 @@
     role: str
     address: str
     zone: str
-    inc: int
+    incarnation: int
     generation: int = 0
-    place: int = 0
-    heard: datetime | None = None
-    lease: datetime | None = None
-    pressure: dict = {}
-    has: dict = {}
-    stuck: tuple = ()
-    facts: dict = {}
-    suspects: tuple = ()
-    peers: tuple = ()
-    doubts: tuple = ()
-    reports: dict = {}
-    number: int = 0  # the register that it has
-    renewed: tuple = ()  # a store's word on leases it renewed: (node, generation, their end)
-    listing: dict = {}  # age and digest of the list of replicas that it has
-    relayed: bool = False  # it reaches the core through a peer only
-    plans: tuple = ()  # the moves that it was last told to lead
-    unpacks: bool = False  # it takes a packed policy
-    failing: dict = {}  # replica -> when this node last failed with it
-    serving: dict = {}  # of replicas in doubt: when this node was last served by them
-    outcomes: dict = {}  # replica -> failed and well tasks of this node there lately
+    placement_version: int = 0
+    last_heard: datetime | None = None
+    lease_end: datetime | None = None
+    demand: dict = {}
+    reported_slots: dict = {}  # replica -> (slots that it may use, slots in use)
+    stalled_partitions: tuple = ()
+    diagnostics: dict = {}
+    suspected_peers: tuple = ()
+    watched_peers: tuple = ()
+    suspect_replicas: tuple = ()
+    probe_reports: dict = {}
+    register_number: int = 0  # number of the register that it knows
+    renewed_leases: tuple = ()  # leases that a store renewed: (node, generation, end)
+    listing: dict = {}  # age and digest of its list of replicas
+    relayed: bool = False  # it reaches the core only through a peer
+    assigned_plans: tuple = ()  # the reconfigurations that it was last told to lead
+    accepts_packed: bool = False  # it can read a packed policy
+    last_failures: dict = {}  # replica -> when a request of this node last failed there
+    last_successes: dict = {}  # suspect replica -> when a request of this node last succeeded
+    outcomes: dict = {}  # replica -> recent failed and successful tasks of this node
 
 
 class PackedPolicy(NamedTuple):
-    """A policy, and its bytes for the nodes that take it so.
+    """A policy and its packed form, for the nodes that can read it.
 
     >>> PackedPolicy().data
     b''
@@ -65,7 +65,7 @@
 
 
 class Poll(NamedTuple):
-    """A poll that waits for news.
+    """A poll that is held until there is an update or its hold time is over.
 
     >>> Poll(1, 'n1', None).name
     'n1'
@@ -76,35 +76,35 @@
     since: datetime | None
 
 
-class Swap(NamedTuple):
-    """A witness and member on its way out, and the one that is to take its place.
+class VoterChange(NamedTuple):
+    """A change of the voters under way: the voter to remove and the core to add in its place.
 
-    >>> Swap(None, 'c1', 'c4', '127.0.0.1:9', None).new
+    >>> VoterChange(None, 'c1', 'c4', '127.0.0.1:9', None).added
     'c4'
     """
 
     call: Any
-    old: str | None  # None: the crew grows
-    new: str
+    removed: str | None  # None: the number of voters grows
+    added: str
     address: str
     since: datetime | None
-    tried: datetime | None = None
+    last_attempt: datetime | None = None
 
 
-class Wait(NamedTuple):
-    """An operator's command that waits until every routing node has its generation.
+class PendingChange(NamedTuple):
+    """An operator's change that is acknowledged once no routing node can act on an older generation.
 
-    >>> Wait(1, 2, {}).generation
+    >>> PendingChange(1, 2, {}).generation
     2
     """
 
     call: Any
     generation: int
-    ret: dict
+    reply: dict
 
 
 class Core(NamedTuple):
-    """All that a core process knows.
+    """The state of a core process.
 
     >>> Core('c1', '127.0.0.1:1', 'z1', ()).fleet is None
     True
@@ -115,143 +115,149 @@
     zone: str
     seeds: tuple
     copies: group.State = group.State('')
-    witness: ballot.Witness = ballot.Witness()
-    run: ballot.Campaign = ballot.Campaign()
+    acceptor: ballot.Witness = ballot.Witness()
+    campaign: ballot.Campaign = ballot.Campaign()
     fleet: dict | None = None
-    forming: dict | None = None
-    maybe: tuple | None = None  # a crew that may have been granted: (epoch, crew)
-    guests: Map = Map()  # cores that wait to be let in: address -> (name, zone)
-    alive: tuple = ()
-    duties: Map = Map()  # duty -> (holder, until): the ballots this witness has cast
-    born: datetime | None = None
-    swap: Any = None  # the change of crew under way
-    synced: datetime | None = None
-    hails: Map = Map()
-    next_hail: datetime | None = None
+    forming_fleet: dict | None = None
+    possible_voters: tuple | None = None  # voters that may have been chosen: (epoch, voters)
+    waiting_cores: Map = Map()  # cores that wait to be admitted: address -> (name, zone)
+    last_live_stores: tuple = ()
+    leadership_votes: Map = Map()  # task -> (holder, end of term): votes that this process cast
+    started_at: datetime | None = None
+    voter_change: Any = None  # a VoterChange under way
+    cores_polled_at: datetime | None = None
+    formation_replies: Map = Map()  # by seed and ('ok', member); 'told': other cores have a fleet
+    next_join_request: datetime | None = None
     nodes: Map = Map()
-    polls: tuple = ()
-    waits: tuple = ()
-    seated: datetime | None = None
-    held: Map = Map()  # routing node -> replica -> the slots that it may still be using
-    targets: dict = {}
-    wants: dict = {}
-    allot_at: datetime | None = None
-    dice: int = 1
-    parts: int = PARTS
-    settled: tuple = (0, None)  # the register that majorities have, and since when
-    greeted: datetime | None = None
-    listing: dict = {}  # the newest list of replicas, with the time when it was looked up
-    founding: bool = True  # whether this may be the fleet's first start
-    losses: int = 1  # how many machines with a disk may be lost at once
-    lone: bool = False  # whether a part is served on by what is left while it is repaired
-    heard: Map = Map()  # core -> when it last answered
-    wall_ahead: timedelta = timedelta(0)  # how far the wall clock is ahead of the steady one
-    lease: timedelta = LEASE
-    acknowledged: int = 0  # the newest generation that this process has acknowledged to an operator
-    silent: timedelta = STORE_SILENT  # so long silent, a store is given up if those that watch it agree
-    packed: PackedPolicy = PackedPolicy()  # the policy that was sent last
+    pending_polls: tuple = ()
+    pending_changes: tuple = ()
+    primary_since: datetime | None = None
+    held_slots: Map = Map()  # routing node -> replica -> slots that it may still be using
+    allocations: dict = {}  # replica -> routing node -> slots
+    allocated_demand: dict = {}  # pool -> routing node -> demand of the last allocation
+    allocated_at: datetime | None = None
+    rng_state: int = 1
+    partition_count: int = PARTITIONS
+    settled_register: tuple = (0, None)  # number of the register that majorities know, and since when
+    hello_sent_at: datetime | None = None
+    listing: dict = {}  # the newest list of replicas, with the time of its lookup
+    may_found: bool = True  # False: this process may only join a fleet, never form one
+    tolerated_losses: int = 1  # machines with a disk that may be lost at once
+    degraded_mode: bool = False  # whether partitions serve with fewer copies during a repair
+    last_replies: Map = Map()  # core -> time of its last reply
+    wall_ahead: timedelta = timedelta(0)  # of the wall clock relative to the steady clock
+    lease_duration: timedelta = LEASE
+    acknowledged_generation: int = 0  # newest generation acknowledged to an operator
+    store_timeout: timedelta = STORE_TIMEOUT  # after which a store is given up unless peers reach it
+    packed_policy: PackedPolicy = PackedPolicy()  # the policy that was last sent
 
     @property
-    def granted(self) -> timedelta:
-        """How long this process counts a lease that it gave."""
-        return self.lease * register.GRANTED_PART
+    def granted_lease(self) -> timedelta:
+        """The time for which this process counts a lease that it granted, longer than the holder does."""
+        return self.lease_duration * register.GRANTED_PART
 
 
-def first_dice(me: str, count: int) -> int:
-    """Where a core's sequence of rests between elections begins: not where another's does. Cores that start
-    at the same moment, as after a loss of all power, would otherwise stand at the same moments, again and
-    again, and none would win.
+def initial_rng_state(me: str, count: int) -> int:
+    """Return the seed of a core's randomized election timeouts; it differs between cores and between starts.
 
-    >>> first_dice('c1', 1) == first_dice('c2', 1), first_dice('c1', 1) == first_dice('c1', 2)
+    Cores that start at the same time, as after a power failure, would otherwise campaign at the same times
+    again and again, and none would win.
+
+    >>> initial_rng_state('c1', 1) == initial_rng_state('c2', 1), initial_rng_state('c1', 1) == initial_rng_state('c1', 2)
     (False, False)
     """
     return crc32(f'{me} {count}'.encode()) or 1
 
 
 def load(me: str, startup: dict, rows: dict, count: int, now: datetime) -> Core:
-    """The state after a start, from the startup and what the disk held.
+    """Return the state after a start, from the startup settings and the rows on disk.
 
     >>> from datetime import UTC
     >>> s = {'address': '127.0.0.1:1', 'zone': 'z1', 'seeds': ['127.0.0.1:1']}
     >>> load('c1', s, {}, 1, datetime(2026, 1, 1, tzinfo=UTC)).fleet is None
     True
     """
-    own = rows.get('', {})
-    state = group.load(me, rows, count, beats=True)
-    copy = state.parts.get('core')
+    process_rows = rows.get('', {})
+    copies = group.load(me, rows, count, beats=True)
+    copy = copies.parts.get('core')
     if copy:
-        state = state._replace(parts=state.parts.set('core', copy._replace(heard=now)))
-    witness = ballot.load(own)
-    run = ballot.Campaign(seen=max(witness.promised, copy.seat.epoch if copy and copy.seat else 0))
+        copies = copies._replace(parts=copies.parts.set('core', copy._replace(heard=now)))
+    acceptor = ballot.load(process_rows)
+    campaign = ballot.Campaign(seen=max(acceptor.promised, copy.seat.epoch if copy and copy.seat else 0))
     return Core(
         me,
         startup['address'],
         startup['zone'],
         tuple(startup['seeds']),
-        state,
-        witness,
-        run,
-        own.get('fleet'),
-        own.get('forming'),
-        dice=first_dice(me, count),
-        parts=startup.get('parts', PARTS),
-        born=now,
-        founding=startup.get('founding', True),
-        losses=startup.get('losses', 1),
-        lone=startup.get('lone', False),
-        silent=of_ms(startup['silent_ms']) if 'silent_ms' in startup else STORE_SILENT,
-        lease=of_ms(startup['lease_ms']) if 'lease_ms' in startup else LEASE,
+        copies,
+        acceptor,
+        campaign,
+        process_rows.get('fleet'),
+        process_rows.get('forming'),
+        rng_state=initial_rng_state(me, count),
+        partition_count=startup.get('parts', PARTITIONS),
+        started_at=now,
+        may_found=startup.get('founding', True),
+        tolerated_losses=startup.get('losses', 1),
+        degraded_mode=startup.get('lone', False),
+        store_timeout=of_ms(startup['silent_ms']) if 'silent_ms' in startup else STORE_TIMEOUT,
+        lease_duration=of_ms(startup['lease_ms']) if 'lease_ms' in startup else LEASE,
     )
 
 
-def where(state: Core, to: str) -> str | None:
-    """The address of a member: `where(state, 'c1')`. An address stands for itself."""
-    if ':' in to:
-        return to
-    for crew in crews(state):
-        for name, address in crew:
-            if name == to:
+def where(state: Core, member: str) -> str | None:
+    """Return the address of a member: `where(state, 'c1')`. An address is returned as it is."""
+    if ':' in member:
+        return member
+    for voters in voter_sets(state):
+        for name, address in voters:
+            if name == member:
                 return address
     return None
 
 
-def crew_of(state: Core) -> tuple:
-    """The witnesses that are in force: `crew_of(state)`."""
+def current_voters(state: Core) -> tuple:
+    """Return the voters of the fleet's current configuration: `current_voters(state)`."""
     return ballot.tuples((state.fleet or {}).get('witnesses')) or ()
 
 
-def crew_next(state: Core) -> tuple:
-    """The crew that the next seat goes with: the newest that may have been granted."""
-    since = (state.fleet or {}).get('epoch', 0)
-    best = (since, crew_of(state))
-    if state.witness.seat and state.witness.crew and state.witness.seat[0] > best[0]:
-        best = (state.witness.seat[0], state.witness.crew)
-    if state.maybe and state.maybe[0] > best[0]:
-        best = state.maybe
-    return best[1]
-
-
-def crews(state: Core) -> tuple:
-    """All crews of which a majority is needed now: `crews(state)`."""
-    out = [crew_of(state)]
-    for crew in (crew_next(state), state.run.crew if state.run.stage in ('ask', 'move', 'accept') else None):
-        if crew and crew not in out:
-            out.append(crew)
-    return tuple(out)
-
-
-def apply_part(part: str, rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
-    """The group's way to the book: `apply_part('core', rows, {'op': 'confirm'}, now)`."""
+def next_voters(state: Core) -> tuple:
+    """Return the voters that the next replica set is proposed with: the newest that may have been chosen."""
+    epoch = (state.fleet or {}).get('epoch', 0)
+    newest = (epoch, current_voters(state))
+    if state.acceptor.seat and state.acceptor.crew and state.acceptor.seat[0] > newest[0]:
+        newest = (state.acceptor.seat[0], state.acceptor.crew)
+    if state.possible_voters and state.possible_voters[0] > newest[0]:
+        newest = state.possible_voters
+    return newest[1]
+
+
+def voter_sets(state: Core) -> tuple:
+    """Return the sets of voters that must each give a majority, as in joint consensus: `voter_sets(state)`."""
+    sets = [current_voters(state)]
+    for voters in (
+        next_voters(state),
+        state.campaign.crew if state.campaign.stage in ('ask', 'move', 'accept') else None,
+    ):
+        if voters and voters not in sets:
+            sets.append(voters)
+    return tuple(sets)
+
+
+def apply_command(partition: str, rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Apply a command to the core table, as the replica group requires it:
+    `apply_command('core', rows, {'op': 'confirm'}, now)`."""
     return book.apply(rows, command, now)
 
 
-def copy_of(state: Core) -> group.Copy | None:
+def core_copy(state: Core) -> group.Copy | None:
+    """Return this process's copy of the core table, None if it has none."""
     return state.copies.parts.get('core')
 
 
-def rows_of(state: Core) -> Map:
-    """The core's rows as far as they are confirmed: nobody may be told of changes that can still be lost."""
-    copy = copy_of(state)
+def confirmed_rows(state: Core) -> Map:
+    """Return the committed rows of the core table: changes that can still be lost are shown to nobody."""
+    copy = core_copy(state)
     if copy is None:
         return Map()
     if copy.flight is not None and copy.flight.before is not None:
@@ -259,33 +265,37 @@
     return copy.rows
 
 
-def primary(state: Core) -> bool:
-    """Whether this process is the ready primary: `primary(state)`."""
-    copy = copy_of(state)
+def is_primary(state: Core) -> bool:
+    """Return whether this process is the primary and ready to serve: `is_primary(state)`."""
+    copy = core_copy(state)
     return bool(copy and copy.seat and copy.full and copy.ready and copy.seat.primary == state.me)
 
 
-def copies(state: Core) -> int:
-    """How many copies there are of everything kept: one more than may be lost at once.
+def replication_factor(state: Core) -> int:
+    """Return the number of copies of all stored data: one more than may be lost at once.
 
-    >>> copies(Core('c1', '127.0.0.1:1', 'z1', ()))
+    >>> replication_factor(Core('c1', '127.0.0.1:1', 'z1', ()))
     2
     """
-    return state.losses + 1
+    return state.tolerated_losses + 1
 
 
-def newest(state: Core) -> Seat | None:
-    """The newest seat that this process has heard of: `newest(state)`."""
-    copy = copy_of(state)
-    known = [copy.seat if copy else None, state.witness.seat, (state.fleet or {}).get('seat')]
-    return max((Seat(*s) for s in known if s), key=lambda s: s.epoch, default=None)
+def newest_replica_set(state: Core) -> Seat | None:
+    """Return the core's newest replica set that this process knows: `newest_replica_set(state)`."""
+    copy = core_copy(state)
+    known = [copy.seat if copy else None, state.acceptor.seat, (state.fleet or {}).get('seat')]
+    return max(
+        (Seat(*replica_set) for replica_set in known if replica_set),
+        key=lambda replica_set: replica_set.epoch,
+        default=None,
+    )
 
 
-def register_of(state: Core) -> dict:
-    """The stores of which majorities count now: `register_of(state)['now']`."""
-    return rows_of(state).get('register') or register.NEVER
+def current_register(state: Core) -> dict:
+    """Return the register of the stores that form the lease quorum: `current_register(state)['now']`."""
+    return confirmed_rows(state).get('register') or register.NEVER
 
 
-def early(state: Core, now: datetime) -> bool:
-    """Whether leases that the last primary gave may still run: `early(state, now)`."""
-    return state.seated is None or now - state.seated < state.granted
+def old_leases_may_run(state: Core, now: datetime) -> bool:
+    """Return whether leases of the previous primary may still be valid: `old_leases_may_run(state, now)`."""
+    return state.primary_since is None or now - state.primary_since < state.granted_lease
