--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -87,42 +87,42 @@
 def sent_again(context):
     context.meant_violations = ('sent_once',)
     story, gateway = context.story, context.story.nodes[0].gateway
-    route = gateway.route
+    route = gateway.match_route
 
     def mistaken(request):
         name, row = route(request)
         return name, MistakenRoute(row, attempts=2)
 
-    gateway.route = mistaken
+    gateway.match_route = mistaken
     story.plan.extend(['close', 'answer'])
     story.run(story.ask('/once/x'))
-    gateway.route = route
+    gateway.match_route = route
 
 
 @when('the gateway tells "shed" of a request that may have run')
 def refusal_after_run(context):
     context.meant_violations = ('refused_after_send',)
     story, gateway = context.story, context.story.nodes[0].gateway
-    plain = gateway.plain
+    plain = gateway.serve_plain
 
     async def refusing(name, route, request, start, deadline, out):
         out.may_have_run = True
         raise Fault('shed', 'a test')
 
-    gateway.plain = refusing
+    gateway.serve_plain = refusing
     story.run(story.ask('/once/x'))
-    gateway.plain = plain
+    gateway.serve_plain = plain
 
 
 @when('the gateway takes every answer for its own, and a replica sends an old one')
 def foreign_answer(context):
     context.meant_violations = ('answer_owner',)
     story, gateway = context.story, context.story.nodes[0].gateway
-    matches = gateway.matches
-    gateway.matches = lambda request: lambda status, headers: True
+    matches = gateway.response_matcher
+    gateway.response_matcher = lambda request: lambda status, headers: True
     story.plan.append('late')
     story.run(story.ask('/any/x'))
-    gateway.matches = matches
+    gateway.response_matcher = matches
 
 
 @when('a replica sends one event of a stream twice')
--- a/features/steps/mechanisms.py
+++ b/features/steps/mechanisms.py
@@ -110,7 +110,7 @@
         node=SimpleNamespace(state=state), ctx=SimpleNamespace(clock=SimpleNamespace(now=lambda: NOW))
     )
     task = Task('t', 'r', 'c', POOL, 1, None, NOW)
-    context.span = Gateway.patience(gateway, task, NOW + of_ms(has)) - NOW
+    context.span = Gateway.attempt_deadline(gateway, task, NOW + of_ms(has)) - NOW
 
 
 @then('it asks another replica after {span:d} ms')
--- a/src/quillstall/dataplane/dialect.py
+++ b/src/quillstall/dataplane/dialect.py
@@ -1,5 +1,5 @@
-"""Dialect: by which headers a gateway's callers and replicas say what they say. The course of a request
-knows the meaning only; whoever has other names for it brings another dialect."""
+"""The header names and formats of a deployment's HTTP interface. The gateway works on parsed requests only;
+a deployment with other header names passes its own `Dialect`."""
 
 from typing import Any, NamedTuple
 
@@ -8,7 +8,7 @@
 from quillstall.network.httpserver import Inbound
 from quillstall.runtime.errors import Fault
 
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'keep-alive',
@@ -26,35 +26,35 @@
 
 
 class Dialect(NamedTuple):
-    """The names of the headers.
+    """The header names that callers and replicas use, and the formats that differ between deployments.
 
-    >>> Dialect().key
+    >>> Dialect().idempotency_key
     'Idempotency-Key'
     """
 
-    request: str = 'X-Request-Id'  # the id of one try
+    request_id: str = 'X-Request-Id'  # new for each attempt of a caller
     deadline: str = 'X-Deadline-Ms'  # how long the caller waits
-    key: str = 'Idempotency-Key'
+    idempotency_key: str = 'Idempotency-Key'
     program: str = 'X-Program-Id'
     session: str = 'X-Session-Id'
-    budget: str = 'X-Token-Budget'  # what the whole program may put out
-    tokens: str = 'X-Tokens'  # of the prompt, and the most out
-    parts: str = 'X-Prompt-Parts'  # id:tokens,...
-    previous: str = 'X-Previous-Turn'
-    resume: str = 'Last-Event-Id'
-    replica: str = 'X-Replica'  # whom a request is meant for
-    not_run: str = 'X-Not-Run'  # a replica's word that it did not run it
+    token_budget: str = 'X-Token-Budget'  # output tokens allowed for the whole program
+    token_counts: str = 'X-Tokens'  # prompt tokens, maximum output tokens
+    prompt_parts: str = 'X-Prompt-Parts'  # id:tokens,...
+    previous_turn: str = 'X-Previous-Turn'
+    last_event_id: str = 'Last-Event-Id'
+    replica: str = 'X-Replica'  # the replica that the request is addressed to
+    not_run: str = 'X-Not-Run'  # set by a replica that did not run the request
     load: str = 'X-Replica-Load'  # running,waiting,slots
-    kept: tuple = ('Content-Type',)  # of an answer's head, what is kept for repeats
-    own: tuple = ()  # of a replica's head, what is for us alone
-    statuses: dict = {}  # codes of ours that have another status here
-    fractions: bool = False  # Retry-After in parts of a second
+    replayed_headers: tuple = ('Content-Type',)  # response headers that are stored for replays
+    internal_headers: tuple = ()  # response headers of a replica that callers do not get
+    statuses: dict = {}  # error code -> status, where it differs from that of `Fault`
+    fractional_retry_after: bool = False  # Retry-After has fractions of a second
 
 
 class Request(NamedTuple):
-    """One request by its meaning.
+    """A parsed request.
 
-    >>> Request('GET', 'h', '/a', None, b'', '1').budget is None
+    >>> Request('GET', 'h', '/a', None, b'', '1').token_budget is None
     True
     """
 
@@ -63,23 +63,23 @@
     path: str
     headers: Any
     body: bytes
-    ident: str
+    request_id: str
     deadline_ms: int | None = None
-    key: str | None = None
+    idempotency_key: str | None = None
     program: str | None = None
     session: str | None = None
-    budget: int | None = None
+    token_budget: int | None = None
     prompt_tokens: int = 0
     max_tokens: int = 0
-    parts: tuple = ()
-    previous: str | None = None
-    after: str | None = None
+    prompt_parts: tuple = ()
+    previous_turn: str | None = None
+    last_event_id: str | None = None
 
 
-def whole(text: str | None, name: str) -> int | None:
-    """A whole number of a header, or None; Fault 'bad_header' if it is none.
+def parse_whole_number(text: str | None, name: str) -> int | None:
+    """Return the number in a header, None without the header. Raises Fault 'bad_header' for other text.
 
-    >>> whole('15', 'x'), whole(None, 'x')
+    >>> parse_whole_number('15', 'x'), parse_whole_number(None, 'x')
     (15, None)
     """
     if text is None:
@@ -90,52 +90,52 @@
     return int(text)
 
 
-def read(dialect: Dialect, call: Inbound) -> Request:
-    """What a call means; Fault 'bad_header' for what cannot be read.
+def parse_request(dialect: Dialect, call: Inbound) -> Request:
+    """Return a received request, parsed by its headers. Raises Fault 'bad_header' for a malformed header.
 
-    >>> heads = HTTPHeaders({'Host': 'A.example:80', 'X-Tokens': '120,8', 'X-Prompt-Parts': 'aa:100,bb:20'})
-    >>> r = read(Dialect(), Inbound('POST', '/x', heads, b'hi')); r.host, r.max_tokens, r.parts
+    >>> headers = HTTPHeaders({'Host': 'A.example:80', 'X-Tokens': '120,8', 'X-Prompt-Parts': 'aa:100,bb:20'})
+    >>> r = parse_request(Dialect(), Inbound('POST', '/x', headers, b'hi')); r.host, r.max_tokens, r.prompt_parts
     ('a.example', 8, (('aa', 100), ('bb', 20)))
     """
-    heads = call.headers
-    tokens = (heads.get(dialect.tokens) or '0,0').split(',')
-    if len(tokens) != 2:
-        raise Fault('bad_header', f'{dialect.tokens} must be two numbers')
-    parts = []
-    for item in filter(None, (heads.get(dialect.parts) or '').split(',')):
+    headers = call.headers
+    token_counts = (headers.get(dialect.token_counts) or '0,0').split(',')
+    if len(token_counts) != 2:
+        raise Fault('bad_header', f'{dialect.token_counts} must be two numbers')
+    prompt_parts = []
+    for item in filter(None, (headers.get(dialect.prompt_parts) or '').split(',')):
         name, _, size = item.strip().rpartition(':')
-        parts.append((name, whole(size, dialect.parts)))
-    host = (heads.get('Host') or '').lower()
+        prompt_parts.append((name, parse_whole_number(size, dialect.prompt_parts)))
+    host = (headers.get('Host') or '').lower()
     return Request(
         call.method,
         host.rpartition(':')[0] if ':' in host else host,
         call.path,
-        heads,
+        headers,
         call.body,
-        heads.get(dialect.request) or '',
-        whole(heads.get(dialect.deadline), dialect.deadline),
-        heads.get(dialect.key),
-        heads.get(dialect.program),
-        heads.get(dialect.session),
-        whole(heads.get(dialect.budget), dialect.budget),
-        whole(tokens[0], dialect.tokens),
-        whole(tokens[1], dialect.tokens),
-        tuple(parts),
-        heads.get(dialect.previous),
-        heads.get(dialect.resume),
+        headers.get(dialect.request_id) or '',
+        parse_whole_number(headers.get(dialect.deadline), dialect.deadline),
+        headers.get(dialect.idempotency_key),
+        headers.get(dialect.program),
+        headers.get(dialect.session),
+        parse_whole_number(headers.get(dialect.token_budget), dialect.token_budget),
+        parse_whole_number(token_counts[0], dialect.token_counts),
+        parse_whole_number(token_counts[1], dialect.token_counts),
+        tuple(prompt_parts),
+        headers.get(dialect.previous_turn),
+        headers.get(dialect.last_event_id),
     )
 
 
-def passed(headers: Any, less: tuple = ()) -> HTTPHeaders:
-    """A head as it is passed on: without what concerns one connection only.
+def forwarded_headers(headers: Any, excluded: tuple = ()) -> HTTPHeaders:
+    """Return the headers to forward: without hop-by-hop headers, and without the `excluded` lower-case names.
 
-    >>> sorted(passed(HTTPHeaders({'Connection': 'x-a', 'X-A': '1', 'X-B': '2', 'Te': 'x'})).get_all())
+    >>> sorted(forwarded_headers(HTTPHeaders({'Connection': 'x-a', 'X-A': '1', 'X-B': '2', 'Te': 'x'})).get_all())
     [('X-B', '2')]
     """
-    named = {n.strip().lower() for value in headers.get_list('Connection') for n in value.split(',')}
-    out = HTTPHeaders()
+    listed = {n.strip().lower() for value in headers.get_list('Connection') for n in value.split(',')}
+    forwarded = HTTPHeaders()
     for name, value in headers.get_all():
-        low = name.lower()
-        if low not in HOP and low not in named and low not in less:
-            out.add(name, value)
-    return out
+        lower = name.lower()
+        if lower not in HOP_BY_HOP_HEADERS and lower not in listed and lower not in excluded:
+            forwarded.add(name, value)
+    return forwarded
--- a/src/quillstall/dataplane/gateway.py
+++ b/src/quillstall/dataplane/gateway.py
@@ -1,9 +1,8 @@
-"""Gateway: carries requests that are routed by host and path, with heads and bodies as they came.
+"""An HTTP gateway that routes requests by host and path and forwards headers and bodies unchanged.
 
-One function carries each request, read from top to bottom: `stream` a turn of a program, `plain` any
-other. Both ask admission for a replica as all work does, tell the stores before anything is sent that
-may not run twice, and say of each failure whether anything may have run: 503 is a promise that nothing
-has and nothing will.
+`serve_stream` carries a turn of a program, `serve_plain` any other request. Both get a replica from
+admission, record in the stores whatever may not run twice before it is sent, and distinguish failures
+that may have run from those that did not: a 503 promises that the request has not run and will not run.
 """
 
 import asyncio
@@ -15,50 +14,50 @@
 from tornado.httputil import HTTPHeaders
 from tornado.iostream import StreamClosedError
 
-from quillstall.dataplane import dialect as words
+from quillstall.dataplane import dialect
 from quillstall.dataplane.admission import admission_state, refusal, service_time
 from quillstall.dataplane.admission.admission_state import Service, Task
 from quillstall.dataplane.admission.messages import Credit, Drain, Health, Leave, Load
-from quillstall.dataplane.chains import Chains, Link
 from quillstall.dataplane.dialect import Dialect, Request
 from quillstall.dataplane.events import Events
 from quillstall.dataplane.failures import Attempt, Failures
-from quillstall.dataplane.keyed import KeyedOperations, WholeAnswer
+from quillstall.dataplane.keyed import CompleteResponse, KeyedOperations
 from quillstall.dataplane.prefixes import Prefixes
 from quillstall.dataplane.routetable import RouteTable
 from quillstall.dataplane.stalls import StallWatch, stall_limit, usual_silence
+from quillstall.dataplane.turn_cache import CachedTurn, TurnCache
 from quillstall.network.httpclient import AnswerTest, Exchange, HttpClient
 from quillstall.network.httpserver import Call, Inbound, JsonOut, Listener
 from quillstall.network.net import connect, split
 from quillstall.runtime.clock import ms, of_ms
 from quillstall.runtime.errors import Fault
 
-PRIOR_PART = 0.25  # the prior of a service time: this part of the time there is
-PATIENCE_LEAST = of_ms(60)  # an answer is waited for so long at least before another replica is asked
-PATIENCE_TIMES = 4  # and so many times what is expected
-KEPT_PART_REPEATABLE = 0.8  # a kept connection is used for this part of the time that it is kept at most
-KEPT_PART_STREAM = 0.5
-KEPT_PART_ONCE = 0.4
-STORE_WAIT = 0.45  # a turn waits for its store for this part of its time at most
-KEEP_LIMIT = of_ms(400)  # past its deadline a turn waits so long at most for its store
-NOTICE = of_ms(3200)  # after a stop signal callers still come for a while
-LAST_ANSWERS = of_ms(300)  # so long before a stop ends, what is under way is answered
-DRAIN_PAUSE = of_ms(20)
-ENDED_LIMIT = of_ms(150)  # so long a replica that broke off is given to take a connection
-GOLDEN_PART = 0.618033988749895
-PROMISES = (402, 408, 421, 429, 503)  # what says that a request has not run and never will
-SENDS_MOST = 4  # replicas that a request is offered to, those that turned it away counted
-
-
-class NoNewWork(Fault):
-    """This node may not send the replica anything new: by its lease, or by the replica's standing."""
+PRIOR_FRACTION = 0.25  # of the time left: the service time that is assumed before one is known
+MIN_PATIENCE = of_ms(60)  # the shortest wait for a response before another replica is tried
+PATIENCE_FACTOR = 4  # times the expected service time: the wait before another replica is tried
+IDLE_FRACTION_REPEATABLE = 0.8  # of the idle timeout: an idle connection older than this is not reused
+IDLE_FRACTION_STREAM = 0.5
+IDLE_FRACTION_ONCE = 0.4
+STORE_WAIT_FRACTION = 0.45  # of the request's time: the longest wait for the store before a turn is sent
+STORE_WRITE_GRACE = of_ms(400)  # past the deadline: the longest wait for the store to retain a turn
+MIN_DRAIN_TIME = of_ms(3200)  # new requests still arrive for a while after a stop signal
+FINAL_RESPONSE_MARGIN = of_ms(300)  # before the end of a stop: open requests are answered then
+DRAIN_POLL_INTERVAL = of_ms(20)
+CONNECT_CHECK_TIMEOUT = of_ms(150)  # for the check whether a replica still accepts connections
+GOLDEN_RATIO_FRACTION = 0.618033988749895
+NOT_RUN_STATUSES = (402, 408, 421, 429, 503)  # these promise that the request has not run and will not run
+MAX_SENDS = 4  # replicas that a request is sent to, including those that rejected it
+
+
+class ReplicaNotEligible(Fault):
+    """This node may not send new work to the replica, by its own lease or by the replica's state."""
 
     def __init__(self) -> None:
         super().__init__('unreachable', 'the replica may not get new work', more={'ours': True})
 
 
 class Gateway:
-    """What one routing node needs to carry such requests."""
+    """The HTTP gateway of one routing node."""
 
     def __init__(self, node: Any, dialect: Dialect):
         self.node = node
@@ -68,176 +67,186 @@
         self.client = HttpClient(count, split(self.ctx.startup['address'])[0])
         violated = self.ctx.journal.violated
         self.listener = Listener(self.serve, count, violated=violated)
-        self.door: Listener | None = None
-        self.keyed = KeyedOperations(node, dialect)
-        self.chains = Chains()
+        self.readiness_listener: Listener | None = None
+        self.keyed_operations = KeyedOperations(node, dialect)
+        self.turn_cache = TurnCache()
         self.prefixes = Prefixes()
         self.routes = RouteTable({})
-        self.routes_of = -1  # the generation that they are of
-        self.parts: dict[str, float] = {}  # route -> where its next request without a home stands in a split
+        self.routes_generation = -1  # the policy generation of `routes`
+        self.split_positions: dict[str, float] = {}  # route -> position of its next request without affinity
         self.failures = Failures(self.ctx.clock, self.ctx.journal)
-        self.silences: dict[str, Service] = {}  # route -> the longest silences of its turns
-        self.leaving = False
-        self.last_answers: datetime | None = None  # while it stops: when requests get their last answers
+        self.silences: dict[str, Service] = {}  # route -> longest silences of its streams
+        self.draining = False
+        self.final_response_at: datetime | None = None  # while draining: when open requests are answered
 
-    # ---- listening, readiness, leaving
+    # ---- listening, readiness, draining
 
     def listen(self) -> None:
-        """Take callers, and whoever asks whether this node is ready: `gateway.listen()`."""
+        """Listen for callers and for readiness checks."""
         self.listener.listen(self.ctx.startup['gateway'])
         if self.ctx.startup.get('ready'):
-            self.door = Listener(self.tell_ready, self.ctx.journal.count)
-            self.door.listen(self.ctx.startup['ready'])
+            self.readiness_listener = Listener(self.serve_readiness, self.ctx.journal.count)
+            self.readiness_listener.listen(self.ctx.startup['ready'])
 
     def ready(self) -> bool:
-        """Whether this node can serve: it knows its policy, its replicas and its stores, and is not leaving."""
+        """Return whether the node has a lease, a policy, replicas and stores, and is not draining."""
         state = self.node.state
         return (
-            not self.leaving
+            not self.draining
             and bool(state.policy.get('http_routes'))
             and bool(state.listing)
             and bool(self.node.seats)
             and admission_state.leased(state, self.ctx.clock.now())
         )
 
-    async def tell_ready(self, call: Inbound, out: Any) -> None:
-        """The answer to whoever asks: `await gateway.tell_ready(call, out)`. What the node tells operators
-        of itself is to be had here too."""
+    async def serve_readiness(self, call: Inbound, response: Any) -> None:
+        """Answer a readiness check, or a request to the node's admin API and metrics on the same address."""
         if call.path.startswith('/v1/') or call.path == '/metrics':
-            await self.node.serve(Call(call.method, call.path, {}, call.body), JsonOut(out))
+            await self.node.serve(Call(call.method, call.path, {}, call.body), JsonOut(response))
             return
-        await out.whole(200 if self.ready() else 503, HTTPHeaders(), b'')
+        await response.whole(200 if self.ready() else 503, HTTPHeaders(), b'')
 
-    async def tidy(self) -> None:
-        """Let go of connections that have rested too long."""
+    async def close_idle_connections(self) -> None:
+        """Close idle connections to replicas once a second, until cancelled."""
         while True:
             await self.ctx.clock.sleep(of_ms(1000))
             self.client.tidy()
 
     async def drain(self, end: datetime) -> None:
-        """Say that this node is not ready, serve those that come nevertheless, then see all through. What is
-        under way shortly before the end gets its last answer then, and is not broken off."""
-        self.leaving = self.listener.closing = True
-        self.last_answers = end - LAST_ANSWERS
+        """Report not ready, keep serving, and return when no request is open, or at `end`.
+
+        Requests that are still open shortly before `end` are answered with an error; they are not cut off.
+        """
+        self.draining = self.listener.closing = True
+        self.final_response_at = end - FINAL_RESPONSE_MARGIN
         clock, start = self.ctx.clock, self.ctx.clock.now()
-        while clock.now() < self.last_answers and (self.listener.busy or clock.now() - start < NOTICE):
-            await clock.sleep(DRAIN_PAUSE)
+        while clock.now() < self.final_response_at and (
+            self.listener.busy or clock.now() - start < MIN_DRAIN_TIME
+        ):
+            await clock.sleep(DRAIN_POLL_INTERVAL)
         self.listener.server.stop()
         self.node.tell(Drain())
         self.client.cut_all(Fault('late', 'this node stops'))
         while clock.now() < end and self.listener.busy:
-            await clock.sleep(DRAIN_PAUSE)
+            await clock.sleep(DRAIN_POLL_INTERVAL)
 
     async def close(self) -> None:
-        """Stop all of it: `await gateway.close()`."""
+        """Close all listeners and connections."""
         self.client.close()
         await self.listener.close()
-        if self.door:
-            await self.door.close()
+        if self.readiness_listener:
+            await self.readiness_listener.close()
 
-    # ---- one request
+    # ---- any request
 
-    def route(self, request: Request) -> tuple[str, dict]:
-        """The route of a request: of its host's, the one with the longest prefix. Fault 'no_route'."""
+    def match_route(self, request: Request) -> tuple[str, dict]:
+        """Return name and row of the host's route with the longest matching prefix. Raises Fault 'no_route'."""
         state = self.node.state
-        if self.routes_of != state.generation:
-            self.routes_of = state.generation
+        if self.routes_generation != state.generation:
+            self.routes_generation = state.generation
             self.routes = RouteTable(state.policy['http_routes'])
-            self.take_limits(state.policy.get('limits', {}))
+            self.apply_limits(state.policy.get('limits', {}))
         path = request.path.partition('?')[0]
         found = self.routes.find(request.host, path)
         if found is None:
             raise Fault('no_route', f'{request.host}{path}')
         return found
 
-    def take_limits(self, limits: dict) -> None:
-        """Bound what callers may send by the limits in force."""
+    def apply_limits(self, limits: dict) -> None:
+        """Apply the policy's limits to callers' connections."""
         self.listener.limit(
             limits.get('head_bytes', 65536) + 1024,
             limits.get('body_bytes', 8 * 2**20) + 1024,
             of_ms(limits.get('idle_ms', 60_000) + 2000),
         )
 
-    def pool(self, name: str, request: Request, route: dict) -> str:
-        """The pool of a request, by the route's weights. All requests of a key go the same way, and those of a
-        session where the route has affinity; the others are spread as evenly as the weights allow."""
+    def choose_pool(self, name: str, request: Request, route: dict) -> str:
+        """Return the pool of a request, chosen by the route's weights.
+
+        Requests with the same idempotency key, or of the same session on a route with affinity, go to
+        the same pool; the others are spread as evenly as the weights allow.
+        """
         rows = [(p, w) for p, w in sorted(route['pools'].items()) if w > 0]
         if len(rows) == 1:
             return rows[0][0]
         known = [(p, w) for p, w in rows if admission_state.replicas_of(self.node.state, p)]
         rows = known or rows
-        home = request.key or (request.session if route.get('affinity', True) else None)
-        part = crc32(home.encode()) / 2**32 if home else self.next_part(name)
-        at = part * sum(w for _, w in rows)
+        affinity_key = request.idempotency_key or (request.session if route.get('affinity', True) else None)
+        position = crc32(affinity_key.encode()) / 2**32 if affinity_key else self.next_split_position(name)
+        remaining = position * sum(w for _, w in rows)
         for pool, weight in rows:
-            at -= weight
-            if at < 0:
+            remaining -= weight
+            if remaining < 0:
                 return pool
         return rows[-1][0]
 
-    def next_part(self, name: str) -> float:
-        """The next point of a sequence that covers the range from 0 to 1 evenly, one sequence a route; those of
-        different nodes begin at different points."""
-        part = self.parts.get(name)
-        if part is None:
-            part = crc32(f'{self.node.name} {name}'.encode()) / 2**32
-        self.parts[name] = (part + GOLDEN_PART) % 1.0
-        return part
-
-    async def serve(self, call: Inbound, out: Any) -> None:
-        """One HTTP request: `await gateway.serve(call, out)`."""
+    def next_split_position(self, name: str) -> float:
+        """Return the next position of a route's low-discrepancy sequence in the range from 0 to 1.
+
+        The sequences of different nodes start at different positions.
+        """
+        position = self.split_positions.get(name)
+        if position is None:
+            position = crc32(f'{self.node.name} {name}'.encode()) / 2**32
+        self.split_positions[name] = (position + GOLDEN_RATIO_FRACTION) % 1.0
+        return position
+
+    async def serve(self, call: Inbound, response: Any) -> None:
+        """Serve one HTTP request; every fault is answered."""
         start = self.ctx.clock.now()
         self.ctx.journal.count('http.requests')
         try:
             state = self.node.state
             if not state.policy.get('http_routes') or not admission_state.leased(state, start):
-                raise Fault('no_lease', 'this node has no policy in force now', wait_ms=500)
-            request = words.read(self.dialect, call)
-            name, route = self.route(request)
-            span = of_ms(route['timeout_ms'])
+                raise Fault('no_lease', 'this node has no policy or no lease', wait_ms=500)
+            request = dialect.parse_request(self.dialect, call)
+            name, route = self.match_route(request)
+            timeout = of_ms(route['timeout_ms'])
             if request.deadline_ms is not None:
-                span = min(span, of_ms(request.deadline_ms))
-            deadline = start + span
-            if self.last_answers is not None:
-                deadline = min(deadline, self.last_answers)
+                timeout = min(timeout, of_ms(request.deadline_ms))
+            deadline = start + timeout
+            if self.final_response_at is not None:
+                deadline = min(deadline, self.final_response_at)
             if route.get('stream'):
-                await self.stream(name, route, request, start, deadline, out)
+                await self.serve_stream(name, route, request, start, deadline, response)
             else:
-                await self.plain(name, route, request, start, deadline, out)
+                await self.serve_plain(name, route, request, start, deadline, response)
         except StreamClosedError:
             self.ctx.journal.count('http.gone')
         except Fault as e:
-            status = await self.tell(out, e, call.path)
+            status = await self.respond_with_fault(response, e, call.path)
             if e.code != 'gone':
-                ident = call.headers.get(self.dialect.request) or ''
-                self.failures.keep(ident, call.path, e, status, start, out.trail)
+                request_id = call.headers.get(self.dialect.request_id) or ''
+                self.failures.keep(request_id, call.path, e, status, start, response.trail)
 
-    async def tell(self, out: Any, fault: Fault, path: str) -> int:
-        """Answer with a fault, or break off what has begun; the status told, 0 if none."""
+    async def respond_with_fault(self, response: Any, fault: Fault, path: str) -> int:
+        """Answer with a fault and return its status; cut the connection and return 0 if the response has begun."""
         self.ctx.journal.count(f'told.{fault.code}')
-        if fault.code == 'gone' or out.headed:
-            out.cut()
+        if fault.code == 'gone' or response.headed:
+            response.cut()
             return 0
         if fault.code in ('unreachable', 'hopeless', 'moved'):
             fault = Fault('no_replica', fault.text, wait_ms=fault.wait_ms)
         if fault.code in ('lost', 'slow'):
             fault = Fault('replica_failed', fault.text)
         status = self.dialect.statuses.get(fault.code, fault.status)
-        if status in PROMISES and getattr(out, 'may_have_run', False):
+        if status in NOT_RUN_STATUSES and getattr(response, 'may_have_run', False):
             self.ctx.journal.violated('refused_after_send', path=path, code=fault.code, status=status)
-        heads = HTTPHeaders({'Content-Type': 'application/problem+json'})
+        headers = HTTPHeaders({'Content-Type': 'application/problem+json'})
         if status in (429, 503):
-            wait = fault.wait_ms if fault.wait_ms is not None else 500
-            heads['Retry-After'] = (
-                f'{wait / 1000:.3f}' if self.dialect.fractions else refusal.retry_after(wait)
+            wait_ms = fault.wait_ms if fault.wait_ms is not None else 500
+            headers['Retry-After'] = (
+                f'{wait_ms / 1000:.3f}'
+                if self.dialect.fractional_retry_after
+                else refusal.retry_after(wait_ms)
             )
         try:
-            await out.whole(status, heads, json_of(fault.problem(path)))
+            await response.whole(status, headers, json_bytes(fault.problem(path)))
         except StreamClosedError:
             self.ctx.journal.count('http.gone')
         return status
 
-    def task(
+    def admission_task(
         self,
         name: str,
         route_name: str,
@@ -247,33 +256,35 @@
         start: datetime,
         deadline: datetime,
     ) -> Task:
-        """What admission is asked with."""
+        """Return the admission task of a request."""
         state = self.node.state
-        cls = route['class']
+        class_name = route['class']
         unread: dict = {}
-        hold = 1
+        reserved_tokens = 1
         if route.get('stream'):
-            hold = max(2, request.prompt_tokens + request.max_tokens)
+            reserved_tokens = max(2, request.prompt_tokens + request.max_tokens)
             unread = self.prefixes.unread(
-                list(admission_state.replicas_of(state, pool)), request.session or '', request.parts
+                list(admission_state.replicas_of(state, pool)), request.session or '', request.prompt_parts
             )
         return Task(
             name,
             route_name,
-            cls,
+            class_name,
             pool,
-            hold,
+            reserved_tokens,
             deadline,
             start,
-            state.policy['classes'][cls].get('urgent', False),
-            prior=min((deadline - start) * PRIOR_PART, of_ms(int(route.get('target_ms') or 600_000))),
+            state.policy['classes'][class_name].get('urgent', False),
+            prior=min((deadline - start) * PRIOR_FRACTION, of_ms(int(route.get('target_ms') or 600_000))),
             unread=unread,
             zone=self.ctx.startup['zone'],
         )
 
-    def others(self, task: Task, replica: str) -> list[str]:
-        """The replicas that could take a request over from this one; without any, it is waited for, and its
-        own failure is the answer."""
+    def other_replicas(self, task: Task, replica: str) -> list[str]:
+        """Return the replicas that a request could move to.
+
+        Without any, the gateway waits for this replica and forwards its error response.
+        """
         state = self.node.state
         return [
             r
@@ -281,14 +292,14 @@
             if r not in (replica, *task.avoid, *state.down)
         ]
 
-    def matches(self, request: Request) -> AnswerTest:
-        """The test whether an answer is to this request: it repeats the request's id."""
-        name = self.dialect.request
-        return lambda status, headers: headers.get(name) is not None and headers[name] == request.ident
+    def response_matcher(self, request: Request) -> AnswerTest:
+        """Return a test whether a response belongs to this request: it must repeat the request id."""
+        name = self.dialect.request_id
+        return lambda status, headers: headers.get(name) is not None and headers[name] == request.request_id
 
-    def anonymous(self, status: int, headers: HTTPHeaders) -> bool:
-        """Whether an answer is an error that does not say to which request it is."""
-        return status >= 400 and headers.get(self.dialect.request) is None
+    def is_unidentified_error(self, status: int, headers: HTTPHeaders) -> bool:
+        """Return whether a response is an error without a request id."""
+        return status >= 400 and headers.get(self.dialect.request_id) is None
 
     async def send(
         self,
@@ -297,54 +308,59 @@
         request: Request,
         body: bytes,
         deadline: datetime,
-        part: float,
-        after: str | None,
-        gone: asyncio.Future,
-        cut_if_gone: bool,
+        max_idle_fraction: float,
+        last_event_id: str | None,
+        disconnected: asyncio.Future,
+        cut_if_disconnected: bool,
         watch: StallWatch | None = None,
     ) -> Exchange:
-        """Offer a request to one replica; its answer's head has come. Fault 'unreachable': it has not run."""
-        clock, state, d = self.ctx.clock, self.node.state, self.dialect
+        """Send a request to one replica and return once the response headers are read.
+
+        Raises Fault 'unreachable' if the request has not run.
+        """
+        clock, state, names = self.ctx.clock, self.node.state, self.dialect
         row = admission_state.replicas_of(state, task.pool).get(replica)
         if row is None:
-            raise NoNewWork()
-        heads = words.passed(request.headers, (d.deadline.lower(), d.replica.lower(), d.resume.lower()))
-        heads[d.replica] = replica
+            raise ReplicaNotEligible()
+        headers = dialect.forwarded_headers(
+            request.headers, (names.deadline.lower(), names.replica.lower(), names.last_event_id.lower())
+        )
+        headers[names.replica] = replica
 
         def before_write() -> None:
-            """The last look before the request is written; a new connection may have taken long."""
-            if gone.done():
+            """Check lease, replica and deadline again: opening a connection may have taken long."""
+            if disconnected.done():
                 raise Fault('gone')
             now, state = clock.now(), self.node.state
             if not admission_state.may_send(state, task.pool, replica, now):
-                raise NoNewWork()
+                raise ReplicaNotEligible()
             if deadline - now < service_time.expected(state, task) * 0.3:
-                raise Fault('hopeless', 'dropped before it was sent', wait_ms=200)
-            heads[d.deadline] = str(max(1, ms(deadline - now)))
+                raise Fault('hopeless', 'not enough time left to send the request', wait_ms=200)
+            headers[names.deadline] = str(max(1, ms(deadline - now)))
 
         before_write()
-        if after is not None:
-            heads[d.resume] = after
+        if last_event_id is not None:
+            headers[names.last_event_id] = last_event_id
         self.ctx.journal.count('attempts')
         exchange = await self.client.open(
             row['address'],
             replica,
             request.method,
             request.path,
-            heads,
+            headers,
             body,
-            self.matches(request),
-            part,
+            self.response_matcher(request),
+            max_idle_fraction,
             deadline - clock.now(),
-            self.anonymous,
+            self.is_unidentified_error,
             before_write,
         )
-        if cut_if_gone:
+        if cut_if_disconnected:
 
-            def leave(_: Any) -> None:
+            def cut_exchange(_: Any) -> None:
                 exchange.cut(Fault('gone'))
 
-            gone.add_done_callback(leave)
+            disconnected.add_done_callback(cut_exchange)
         try:
             if watch:
                 status, head = await watch.wait(exchange.head)
@@ -353,63 +369,69 @@
         except BaseException:
             exchange.cut()
             raise
-        if status < 300 and head.get(d.request) != request.ident:
-            self.ctx.journal.violated('answer_owner', request=request.ident, answer=head.get(d.request))
-        load = (head.get(d.load) or '').split(',')
+        if status < 300 and head.get(names.request_id) != request.request_id:
+            self.ctx.journal.violated(
+                'answer_owner', request=request.request_id, answer=head.get(names.request_id)
+            )
+        load = (head.get(names.load) or '').split(',')
         if len(load) == 3 and all(x.strip().isdigit() for x in load):
             self.node.tell(Load(replica, *(int(x) for x in load)))
         return exchange
 
-    async def ended(self, task: Task, replica: str) -> bool:
-        """Whether a replica that broke off has ended, or is cut off: it takes no connection any more. It
-        then doesn't count among the replicas that a request may go to. One that is only draining does."""
+    async def refuses_connections(self, task: Task, replica: str) -> bool:
+        """Return whether a replica that cut a stream accepts no connections: it stopped or is unreachable.
+
+        Such an attempt does not count against the route's attempts; one at a draining replica does.
+        """
         state = self.node.state
         listed = state.listing.get('pools', {}).get(task.pool, {})
         row = listed.get(replica) or admission_state.replicas_of(state, task.pool).get(replica)
         if row is None:
             return False
         try:
-            stream = await connect(row['address'], ENDED_LIMIT, self.client.source)
+            stream = await connect(row['address'], CONNECT_CHECK_TIMEOUT, self.client.source)
         except Fault:
             return True
         stream.close()
         return False
 
-    async def rest(self, exchange: Exchange, deadline: datetime) -> bytes:
-        """The whole body of an answer: `await gateway.rest(exchange, deadline)`."""
-        out = []
+    async def read_body(self, exchange: Exchange, deadline: datetime) -> bytes:
+        """Return the whole body of a response."""
+        chunks = []
         while True:
             data = await exchange.data(deadline - self.ctx.clock.now())
             if data is None:
-                return b''.join(out)
-            out.append(data)
+                return b''.join(chunks)
+            chunks.append(data)
 
-    def verdict(self, exchange: Exchange) -> None:
-        """Fault 'unreachable' if the replica says that it did not run the request, 'replica_failed' if its
-        answer would promise that and it does not say so."""
+    def raise_if_not_run(self, exchange: Exchange) -> None:
+        """Raise Fault 'unreachable' if the replica states that it did not run the request.
+
+        Raises Fault 'replica_failed' for a status that would promise this without such a statement.
+        """
         if exchange.status == 421 or self.dialect.not_run in exchange.headers:
-            text = f'{exchange.place[1]} turned it away: {exchange.status}'
+            text = f'{exchange.place[1]} rejected the request: {exchange.status}'
             raise Fault('unreachable', text, more={'full': True})
         if exchange.status in (408, 429, 503):
             raise Fault('replica_failed', f'{exchange.place[1]} answered {exchange.status}')
 
-    def told_as(self, fault: Fault, may_have_run: bool, deadline: datetime) -> Fault:
-        """What the caller hears of a request's last fault: no refusal once an attempt may have run."""
+    def final_fault(self, fault: Fault, may_have_run: bool, deadline: datetime) -> Fault:
+        """Return the fault that the caller gets: no refusal once an attempt may have run."""
         if may_have_run and fault.ran == 'no':
             return Fault('replica_failed', f'an attempt was lost, and then: {fault.code}')
         if fault.code in ('slow', 'lost') and self.ctx.clock.now() >= deadline:
             return Fault('late', fault.text)
         return fault
 
-    def patience(self, task: Task, deadline: datetime) -> datetime:
-        """How long an answer of work that may be repeated is waited for where another replica could take it."""
+    def attempt_deadline(self, task: Task, deadline: datetime) -> datetime:
+        """Return when a repeatable request that another replica could take stops waiting for this attempt."""
         if not admission_state.uses(self.node.state, 'patience'):
             return deadline
-        span = max(PATIENCE_LEAST, service_time.expected(self.node.state, task) * PATIENCE_TIMES)
-        return min(deadline, self.ctx.clock.now() + span)
+        patience = max(MIN_PATIENCE, service_time.expected(self.node.state, task) * PATIENCE_FACTOR)
+        return min(deadline, self.ctx.clock.now() + patience)
 
-    def health(self, replica: str, fault: Fault | None, status: int = 200) -> None:
-        """What an attempt says of a replica: its fault, or the status that was passed on."""
+    def report_health(self, replica: str, fault: Fault | None, status: int = 200) -> None:
+        """Report the outcome of an attempt to admission: its fault, or the status that was forwarded."""
         if fault is None:
             self.node.tell(Health(replica, True, erred=status >= 500))
         elif fault.code not in ('gone', 'hopeless') and not fault.more.get('ours'):
@@ -418,322 +440,371 @@
             stalled = fault.more.get('stalled', False)
             self.node.tell(Health(replica, False, not refused, stalled, full=full))
 
-    def attempt_failed(
-        self, replica: str, exchange: Exchange | None, fault: Fault, start: datetime, out: Any
+    def record_failed_attempt(
+        self, replica: str, exchange: Exchange | None, fault: Fault, start: datetime, response: Any
     ) -> bool:
-        """End an attempt that failed; whether it may have run. A fault 'gone', of a caller, is raised on."""
+        """End a failed attempt and return whether it may have run. Raises Fault 'gone' if the caller left."""
         if exchange:
             exchange.cut()
         if fault.code == 'gone':
             raise fault
-        self.health(replica, fault)
-        out.trail.append(Attempt(replica, ms(self.ctx.clock.now() - start), fault.code, fault.text))
+        self.report_health(replica, fault)
+        response.trail.append(Attempt(replica, ms(self.ctx.clock.now() - start), fault.code, fault.text))
         if fault.code in ('unreachable', 'hopeless'):
             return False
-        out.may_have_run = True
+        response.may_have_run = True
         return True
 
-    def stall_watch(self, name: str, task: Task, replica: str, deadline: datetime, moves: bool) -> StallWatch:
-        """The watch over one stream of a route; `moves`: it may go on at another replica."""
-        on = admission_state.uses(self.node.state, 'silence')
+    def stall_watch(
+        self, name: str, task: Task, replica: str, deadline: datetime, can_move: bool
+    ) -> StallWatch:
+        """Return the stall detector of one stream; `can_move` tells whether it may be resumed elsewhere."""
+        enabled = admission_state.uses(self.node.state, 'silence')
         return StallWatch(
             self.ctx.clock,
-            stall_limit(self.silences.get(name)) if on else None,
+            stall_limit(self.silences.get(name)) if enabled else None,
             deadline,
-            moves and bool(self.others(task, replica)),
-            lambda: self.stalled(replica),
+            can_move and bool(self.other_replicas(task, replica)),
+            lambda: self.report_stall(replica),
         )
 
-    def stalled(self, replica: str) -> None:
-        """A stream from a replica is stalled, and is waited for on."""
+    def report_stall(self, replica: str) -> None:
+        """Report a stalled stream to admission; the gateway keeps waiting for it."""
         self.ctx.journal.count('stalls')
         self.node.tell(Health(replica, False, True, True))
 
-    def head_of(self, headers: Any) -> HTTPHeaders:
-        """A replica's head as its caller gets it."""
-        return words.passed(headers, tuple(n.lower() for n in self.dialect.own))
+    def response_headers(self, headers: Any) -> HTTPHeaders:
+        """Return a replica's response headers as the caller gets them."""
+        return dialect.forwarded_headers(headers, tuple(n.lower() for n in self.dialect.internal_headers))
 
-    # ---- a plain request
+    # ---- plain requests
 
-    async def plain(
-        self, name: str, route: dict, request: Request, start: datetime, deadline: datetime, out: Any
+    async def serve_plain(
+        self, name: str, route: dict, request: Request, start: datetime, deadline: datetime, response: Any
     ) -> None:
-        """One plain request, from its route to its answer."""
+        """Serve one plain request: claim its key, send it, retry it where the route allows, and respond."""
         clock, node = self.ctx.clock, self.node
-        run = node.fresh()
-        task = self.task(run, name, route, request, self.pool(name, request, route), start, deadline)
-        record = f'{request.host} {request.key}' if route['repeat'] == 'keyed' and request.key else None
-        if record:
-            kept = await self.keyed.claim(record, request, run, start, deadline)
-            if kept is not None:
-                await out.whole(*kept)
+        run_id = node.fresh()
+        task = self.admission_task(
+            run_id, name, route, request, self.choose_pool(name, request, route), start, deadline
+        )
+        record_key = (
+            f'{request.host} {request.idempotency_key}'
+            if route['repeat'] == 'keyed' and request.idempotency_key
+            else None
+        )
+        if record_key:
+            stored = await self.keyed_operations.claim(record_key, request, run_id, start, deadline)
+            if stored is not None:
+                await response.whole(*stored)
                 return
-        any_time = route['repeat'] == 'any'
-        most = route.get('attempts') or (2 if any_time else 1)
-        tried = done = False
-        attempts, began, answer = 0, clock.now(), None
-        took = None
-        gone = out.gone if not record else asyncio.get_running_loop().create_future()
+        repeatable = route['repeat'] == 'any'
+        max_attempts = route.get('attempts') or (2 if repeatable else 1)
+        may_have_run = done = False
+        sends, sent_at, final_response = 0, clock.now(), None
+        duration = None
+        disconnected = response.gone if not record_key else asyncio.get_running_loop().create_future()
         replica = ''
         try:
-            replica = await node.admit(task, gone)
-            began = clock.now()
+            replica = await node.admit(task, disconnected)
+            sent_at = clock.now()
             while True:
-                if gone.done():
+                if disconnected.done():
                     raise Fault('gone')
-                attempts += 1
+                sends += 1
                 exchange = None
-                if tried and route['repeat'] != 'any':
-                    self.ctx.journal.violated('sent_once', request=request.ident, route=name)
-                again = any_time and attempts < most  # whether it may be sent once more
-                patient = not (again and self.others(task, replica))
-                until = deadline if patient else self.patience(task, deadline)
+                if may_have_run and route['repeat'] != 'any':
+                    self.ctx.journal.violated('sent_once', request=request.request_id, route=name)
+                can_retry = repeatable and sends < max_attempts
+                wait_for_replica = not (can_retry and self.other_replicas(task, replica))
+                attempt_end = deadline if wait_for_replica else self.attempt_deadline(task, deadline)
                 try:
                     exchange = await self.send(
                         task,
                         replica,
                         request,
                         request.body,
-                        until,
-                        KEPT_PART_REPEATABLE if any_time else KEPT_PART_ONCE,
+                        attempt_end,
+                        IDLE_FRACTION_REPEATABLE if repeatable else IDLE_FRACTION_ONCE,
                         None,
-                        gone,
-                        any_time,
+                        disconnected,
+                        repeatable,
                     )
-                    data = await self.rest(exchange, until)
-                    self.verdict(exchange)
-                    if exchange.status >= 500 and again and self.others(task, replica):
+                    data = await self.read_body(exchange, attempt_end)
+                    self.raise_if_not_run(exchange)
+                    if exchange.status >= 500 and can_retry and self.other_replicas(task, replica):
                         raise Fault('replica_failed', f'{replica} answered {exchange.status}')
-                    answer = WholeAnswer(exchange.status, self.head_of(exchange.headers), data)
-                    self.health(replica, None, exchange.status)
+                    final_response = CompleteResponse(
+                        exchange.status, self.response_headers(exchange.headers), data
+                    )
+                    self.report_health(replica, None, exchange.status)
                     break
                 except Fault as e:
-                    if self.attempt_failed(replica, exchange, e, start, out):
-                        tried = True
-                        if not again:
+                    if self.record_failed_attempt(replica, exchange, e, start, response):
+                        may_have_run = True
+                        if not can_retry:
                             raise
-                    if attempts >= SENDS_MOST or e.code == 'hopeless':
+                    if sends >= MAX_SENDS or e.code == 'hopeless':
                         raise
-                    node.tell(Leave(run))
-                    task, replica = await node.elsewhere(task, replica, gone, e)
-            took = clock.now() - began
+                    node.tell(Leave(run_id))
+                    task, replica = await node.elsewhere(task, replica, disconnected, e)
+            duration = clock.now() - sent_at
             done = True
         except Fault as e:
-            if record and not tried:  # it certainly never ran: the next try may
-                await self.keyed.void(record, run)
-            told = self.told_as(e, tried, deadline)
-            if told is e:
+            if record_key and not may_have_run:  # it has not run, so the next attempt may
+                await self.keyed_operations.release(record_key, run_id)
+            final = self.final_fault(e, may_have_run, deadline)
+            if final is e:
                 raise
-            raise told from e
+            raise final from e
         finally:
-            node.tell(Leave(run, 1 if done else 0, took))
-        if record:
-            await self.keyed.keep(record, run, answer)
+            node.tell(Leave(run_id, 1 if done else 0, duration))
+        if record_key:
+            await self.keyed_operations.save_response(record_key, run_id, final_response)
         self.ctx.journal.count('calls.done')
-        await out.whole(*answer)
+        await response.whole(*final_response)
 
-    # ---- a turn
+    # ---- turns
 
-    async def history(
-        self, route: dict, request: Request, run: str, deadline: datetime, start: datetime
+    async def begin_turn(
+        self, route: dict, request: Request, run_id: str, deadline: datetime, start: datetime
     ) -> tuple[bytes, bool]:
-        """Hold the turn's tokens on two disks and get what was said before it; whether that was said in
-        another program. Faults: 'budget', 'turn_unknown', 'store_away'."""
+        """Reserve the turn's tokens in the store; return the conversation before it.
+
+        The second value tells whether that conversation belongs to another program.
+        Raises Fault 'budget', 'turn_unknown' or 'store_away'.
+        """
         node, clock = self.node, self.ctx.clock
-        chain = self.chains.whole(request.previous) if route.get('keep') else b''
-        other = request.previous is not None and self.chains.program(request.previous) not in (
+        conversation = self.turn_cache.conversation(request.previous_turn) if route.get('keep') else b''
+        other_program = request.previous_turn is not None and self.turn_cache.program_of(
+            request.previous_turn
+        ) not in (
             None,
             request.program,
         )
         command = {
             'op': 'turn_begin',
             'program': request.program,
-            'turn': request.ident,
-            'budget': request.budget,
+            'turn': request.request_id,
+            'budget': request.token_budget,
             'hold': request.max_tokens,
-            'previous': request.previous if route.get('keep') else None,
-            'has': chain is not None,
+            'previous': request.previous_turn if route.get('keep') else None,
+            'has': conversation is not None,
             'span_s': (deadline - clock.now()).total_seconds(),
         }
-        until = start + (deadline - start) * STORE_WAIT
+        until = start + (deadline - start) * STORE_WAIT_FRACTION
         try:
-            ret = await node.shelf(request.program, command, until)
+            reply = await node.shelf(request.program, command, until)
         except Fault as e:
             if e.code != 'turn_unknown':
-                if e.code == 'store_away':  # it may be held: let it go, nothing will be sent
-                    self.settle(request, 0)
+                if e.code == 'store_away':  # the tokens may be reserved: release them, nothing will be sent
+                    self.settle_turn(request, 0)
                 raise
-            chain, other = await self.find(request.previous, until), True
-            ret = await node.shelf(request.program, {**command, 'has': True}, until)
-        if chain is None:
-            chain = b''.join(ret['chain'])
-        return chain, other
-
-    async def find(self, turn: str, until: datetime) -> bytes:
-        """What was said up to a turn of whichever program: every part is asked. 'turn_unknown' only if each
-        says so."""
+            conversation, other_program = await self.find_turn(request.previous_turn, until), True
+            reply = await node.shelf(request.program, {**command, 'has': True}, until)
+        if conversation is None:
+            conversation = b''.join(reply['chain'])
+        return conversation, other_program
+
+    async def find_turn(self, turn_id: str, until: datetime) -> bytes:
+        """Return the conversation up to a turn of any program, from whichever partition retains it.
+
+        Raises Fault 'turn_unknown' if no partition retains it, 'store_away' if not all of them answered.
+        """
         node = self.node
         self.ctx.journal.count('turns.sought')
-        work = [
-            node.ask_part(part, {'op': 'turn_find', 'previous': turn}, until) for part in sorted(node.seats)
+        calls = [
+            node.ask_part(partition, {'op': 'turn_find', 'previous': turn_id}, until)
+            for partition in sorted(node.seats)
         ]
-        rets = await asyncio.gather(*work, return_exceptions=True)
-        for ret in rets:
-            if isinstance(ret, dict):
-                return b''.join(ret['chain'])
-        if rets and all(isinstance(r, Fault) and r.code == 'turn_unknown' for r in rets):
-            raise Fault('turn_unknown', turn)
-        raise Fault('store_away', 'not every store could say whether it keeps this turn', wait_ms=500)
-
-    def settle(self, request: Request, used: int) -> None:
-        """Settle a turn that is not kept, without anyone waiting for it."""
+        replies = await asyncio.gather(*calls, return_exceptions=True)
+        for reply in replies:
+            if isinstance(reply, dict):
+                return b''.join(reply['chain'])
+        if replies and all(isinstance(r, Fault) and r.code == 'turn_unknown' for r in replies):
+            raise Fault('turn_unknown', turn_id)
+        raise Fault('store_away', 'not every partition answered whether it retains this turn', wait_ms=500)
+
+    def settle_turn(self, request: Request, used_tokens: int) -> None:
+        """Charge a turn that is not retained, and release its reservation, in the background."""
         self.node.spawn(
             self.node.settle(
                 request.program,
-                {'op': 'turn_end', 'program': request.program, 'turn': request.ident, 'used': used},
+                {
+                    'op': 'turn_end',
+                    'program': request.program,
+                    'turn': request.request_id,
+                    'used': used_tokens,
+                },
             )
         )
 
-    async def stream(
-        self, name: str, route: dict, request: Request, start: datetime, deadline: datetime, out: Any
+    async def serve_stream(
+        self, name: str, route: dict, request: Request, start: datetime, deadline: datetime, response: Any
     ) -> None:
-        """One turn, from its route to its last event."""
+        """Serve one turn: reserve its tokens, forward its events, resume it where allowed, and retain it."""
         clock, node = self.ctx.clock, self.node
-        run = node.fresh()
-        pool = self.pool(name, request, route)
-        task = self.task(run, name, route, request, pool, start, deadline)
-        if (route.get('keep') or request.budget is not None) and not request.ident:
+        run_id = node.fresh()
+        pool = self.choose_pool(name, request, route)
+        task = self.admission_task(run_id, name, route, request, pool, start, deadline)
+        if (route.get('keep') or request.token_budget is not None) and not request.request_id:
             raise Fault(
-                'bad_header', f'{self.dialect.request} is needed', ((self.dialect.request, 'is missing'),)
+                'bad_header',
+                f'{self.dialect.request_id} is required',
+                ((self.dialect.request_id, 'is missing'),),
+            )
+        if request.program is None:  # turns without a program are charged to one of their own
+            request = request._replace(
+                program=f'- {request.session or request.previous_turn or request.request_id}'
             )
-        if request.program is None:  # a line of turns without a program is one of its own
-            request = request._replace(program=f'- {request.session or request.previous or request.ident}')
-        counted = request.budget is not None or bool(route.get('keep'))
-        each = node.state.policy['pools'][pool].get('event_tokens', 1)
-        keep, resume = bool(route.get('keep')) and counted, bool(route.get('resume'))
-        kept_part = KEPT_PART_REPEATABLE if resume else KEPT_PART_STREAM
-        most = route.get('attempts') or 1
-        chain, other, held, tried, headed, settled = b'', False, False, False, False, False
-        offers, ran, sent_on, last, said = 0, 0, 0, request.after, []
-        took, replica, exchange = None, '', None
+        in_store = request.token_budget is not None or bool(route.get('keep'))
+        event_tokens = node.state.policy['pools'][pool].get('event_tokens', 1)
+        retain, resumable = bool(route.get('keep')) and in_store, bool(route.get('resume'))
+        max_idle_fraction = IDLE_FRACTION_REPEATABLE if resumable else IDLE_FRACTION_STREAM
+        max_attempts = route.get('attempts') or 1
+        conversation, other_program, reserved, may_have_run, headers_sent, settled = (
+            b'',
+            False,
+            False,
+            False,
+            False,
+            False,
+        )
+        sends, runs, forwarded, last_event_id, output = 0, 0, 0, request.last_event_id, []
+        duration, replica, exchange = None, '', None
         try:
-            replica = await node.admit(task, out.gone)
-            if counted:
-                chain, other = await self.history(route, request, run, deadline, start)
-                held = True
-            began = clock.now()
-            body = chain + request.body
+            replica = await node.admit(task, response.gone)
+            if in_store:
+                conversation, other_program = await self.begin_turn(route, request, run_id, deadline, start)
+                reserved = True
+            sent_at = clock.now()
+            body = conversation + request.body
             while True:
-                if out.gone.done():
+                if response.gone.done():
                     raise Fault('gone')
-                offers += 1
+                sends += 1
                 exchange = None
-                if tried and route['repeat'] != 'any':
-                    self.ctx.journal.violated('sent_once', request=request.ident, route=name)
-                watch = self.stall_watch(name, task, replica, deadline, resume and ran + 1 < most)
+                if may_have_run and route['repeat'] != 'any':
+                    self.ctx.journal.violated('sent_once', request=request.request_id, route=name)
+                watch = self.stall_watch(name, task, replica, deadline, resumable and runs + 1 < max_attempts)
                 try:
                     exchange = await self.send(
-                        task, replica, request, body, deadline, kept_part, last, out.gone, True, watch
+                        task,
+                        replica,
+                        request,
+                        body,
+                        deadline,
+                        max_idle_fraction,
+                        last_event_id,
+                        response.gone,
+                        True,
+                        watch,
                     )
                     if exchange.status != 200:
-                        data = await self.rest(exchange, deadline)
-                        self.verdict(exchange)
-                        if headed:
+                        data = await self.read_body(exchange, deadline)
+                        self.raise_if_not_run(exchange)
+                        if headers_sent:
                             raise Fault('replica_failed', f'{replica} answered {exchange.status}')
-                        self.health(replica, None, exchange.status)
-                        await out.whole(exchange.status, self.head_of(exchange.headers), data)
+                        self.report_health(replica, None, exchange.status)
+                        await response.whole(exchange.status, self.response_headers(exchange.headers), data)
                         return
-                    self.prefixes.sent(replica, request.session or '', request.parts)
-                    if not headed:
-                        headed = True
-                        await out.head(200, self.head_of(exchange.headers))
-                    cutter, first = Events(), True
+                    self.prefixes.sent(replica, request.session or '', request.prompt_parts)
+                    if not headers_sent:
+                        headers_sent = True
+                        await response.head(200, self.response_headers(exchange.headers))
+                    parser, first_chunk = Events(), True
                     while True:
                         data = await watch.wait(exchange.data)
                         if data is None:
                             break
-                        events = cutter.take(data)
+                        events = parser.take(data)
                         if not events:
                             continue
-                        read = request.prompt_tokens if first else 0
-                        first = False
-                        node.tell(Credit(run, read + each * len(events)))
+                        prompt_tokens = request.prompt_tokens if first_chunk else 0
+                        first_chunk = False
+                        node.tell(Credit(run_id, prompt_tokens + event_tokens * len(events)))
                         for event in events:
-                            if not follows(last, event.ident):
-                                self.ctx.journal.violated('event_order', request=request.ident, after=last)
-                                raise Fault('lost', f'event {event.ident} came after {last}')
-                        sent_on += len(events)
+                            if not may_follow(last_event_id, event.ident):
+                                self.ctx.journal.violated(
+                                    'event_order', request=request.request_id, after=last_event_id
+                                )
+                                raise Fault('lost', f'event {event.ident} came after {last_event_id}')
+                        forwarded += len(events)
                         for event in events:
-                            last = event.ident or last
-                            if keep:
-                                said.append((event.data or b'') + b'\n')
-                        await out.write(b''.join(e.raw for e in events))
-                    if cutter.left.strip():
+                            last_event_id = event.ident or last_event_id
+                            if retain:
+                                output.append((event.data or b'') + b'\n')
+                        await response.write(b''.join(e.raw for e in events))
+                    if parser.left.strip():
                         raise Fault('lost', 'the stream ended in the middle of an event')
-                    self.health(replica, None)
+                    self.report_health(replica, None)
                     self.silences[name] = usual_silence(self.silences.get(name), watch.longest)
                     break
                 except Fault as e:
-                    if self.attempt_failed(replica, exchange, e, start, out):
-                        tried = True
-                        ran += 1
-                        if not resume or clock.now() >= deadline:
+                    if self.record_failed_attempt(replica, exchange, e, start, response):
+                        may_have_run = True
+                        runs += 1
+                        if not resumable or clock.now() >= deadline:
                             raise
-                        if ran >= most and not (e.code == 'lost' and await self.ended(task, replica)):
+                        if runs >= max_attempts and not (
+                            e.code == 'lost' and await self.refuses_connections(task, replica)
+                        ):
                             raise
-                    if offers >= SENDS_MOST or e.code == 'hopeless' or clock.now() >= deadline:
+                    if sends >= MAX_SENDS or e.code == 'hopeless' or clock.now() >= deadline:
                         raise
-                    node.tell(Leave(run, sent_on * each))
-                    task, replica = await node.elsewhere(task, replica, out.gone, e)
-            took = clock.now() - began
-            if keep:
-                data = (chain if other else b'') + request.body + b''.join(said)
-                previous = None if other else request.previous
+                    node.tell(Leave(run_id, forwarded * event_tokens))
+                    task, replica = await node.elsewhere(task, replica, response.gone, e)
+            duration = clock.now() - sent_at
+            if retain:
+                data = (conversation if other_program else b'') + request.body + b''.join(output)
+                previous_turn = None if other_program else request.previous_turn
                 await node.shelf(
                     request.program,
                     {
                         'op': 'turn_end',
                         'program': request.program,
-                        'turn': request.ident,
-                        'used': sent_on * each,
+                        'turn': request.request_id,
+                        'used': forwarded * event_tokens,
                         'keeping_s': route.get('keeping_s', 60),
-                        'keep': {'previous': previous, 'data': data},
+                        'keep': {'previous': previous_turn, 'data': data},
                     },
-                    max(deadline, clock.now() + KEEP_LIMIT),
+                    max(deadline, clock.now() + STORE_WRITE_GRACE),
                     'not_kept',
                 )
                 settled = True
-                self.chains.put(request.ident, Link(request.program, previous, data))
-            await out.end()
+                self.turn_cache.put(request.request_id, CachedTurn(request.program, previous_turn, data))
+            await response.end()
             self.ctx.journal.count('turns.done')
         except Fault as e:
-            told = self.told_as(e, tried, deadline)
-            if told is e:
+            final = self.final_fault(e, may_have_run, deadline)
+            if final is e:
                 raise
-            raise told from e
+            raise final from e
         finally:
             if exchange and not exchange.whole:
                 exchange.cut()
-            node.tell(Leave(run, request.prompt_tokens + sent_on * each if sent_on else 0, took))
-            if held and not settled:
-                self.settle(request, sent_on * each)
+            node.tell(
+                Leave(run_id, request.prompt_tokens + forwarded * event_tokens if forwarded else 0, duration)
+            )
+            if reserved and not settled:
+                self.settle_turn(request, forwarded * event_tokens)
 
 
-def follows(last: str | None, ident: str | None) -> bool:
-    """Whether an event may come after another in one stream: numbers rise; what has no number may come.
+def may_follow(last_event_id: str | None, event_id: str | None) -> bool:
+    """Return whether an event may follow another in one stream: numeric ids must increase.
 
-    >>> follows('2', '3'), follows(None, '1'), follows('3', '3'), follows('3', None), follows('a', 'b')
+    >>> may_follow('2', '3'), may_follow(None, '1'), may_follow('3', '3'), may_follow('3', None), may_follow('a', 'b')
     (True, True, False, True, True)
     """
-    if last is None or ident is None or not (last.isdigit() and ident.isdigit()):
+    if last_event_id is None or event_id is None or not (last_event_id.isdigit() and event_id.isdigit()):
         return True
-    return int(ident) > int(last)
+    return int(event_id) > int(last_event_id)
 
 
-def json_of(body: dict) -> bytes:
-    """A body as bytes.
+def json_bytes(body: dict) -> bytes:
+    """Return a JSON body, encoded.
 
-    >>> json_of({'a': 1})
+    >>> json_bytes({'a': 1})
     b'{"a": 1}'
     """
     return json.dumps(body).encode()
--- a/src/quillstall/dataplane/keyed.py
+++ b/src/quillstall/dataplane/keyed.py
@@ -1,7 +1,7 @@
-"""Keyed operations of a gateway: each key runs once, and its repeats get the first run's answer.
+"""Keyed operations: each idempotency key runs once, and its retries get the response of that run.
 
-A try claims its key in the store, under the name of its run, before anything is sent to a replica. A run that
-certainly does not happen is given up there by name; a run that has ended leaves its answer.
+An attempt claims its key in the store, under its run id, before anything is sent to a replica. A run that
+certainly does not happen is marked so in the store, by its id; a run that has ended stores its response.
 """
 
 import asyncio
@@ -14,17 +14,17 @@
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.errors import Fault
 
-KEEPING_S = 120  # how long a key is kept where the policy does not say
-STORE_WAIT = 0.45  # a claim waits for its store for this part of its time at most
-WRITE_WAIT = of_ms(150)  # a caller's answer waits so long for what the store is to keep of it, then goes out
-RUNNING_MOST = timedelta(seconds=30)  # a run that has not ended by then is not said to be at work any more
-ASK_AGAIN_MS = 300
+DEFAULT_RETENTION_S = 120
+STORE_WAIT_FRACTION = 0.45  # of the request's time: the longest wait for the store at a claim
+STORE_WRITE_TIMEOUT = of_ms(150)  # the longest delay of a response by the write of its record to the store
+MAX_RUNNING_TIME = timedelta(seconds=30)  # after this a run without an end has an unknown outcome
+RETRY_AFTER_MS = 300
 
 
-class WholeAnswer(NamedTuple):
-    """A replica's answer with its whole body.
+class CompleteResponse(NamedTuple):
+    """A replica's response with its whole body.
 
-    >>> WholeAnswer(200, HTTPHeaders(), b'ok').status
+    >>> CompleteResponse(200, HTTPHeaders(), b'ok').status
     200
     """
 
@@ -34,7 +34,7 @@
 
 
 class KeyedOperations:
-    """What a gateway keeps of keys, in the store."""
+    """A gateway's access to the records of idempotency keys in the stores."""
 
     def __init__(self, node: Any, dialect: Dialect):
         self.node = node
@@ -42,60 +42,78 @@
         self.dialect = dialect
 
     async def claim(
-        self, record: str, request: Request, run: str, start: datetime, deadline: datetime
-    ) -> WholeAnswer | None:
-        """Mark an operation as begun by this run, on all copies. The answer that is kept, if it has run.
+        self, record_key: str, request: Request, run_id: str, start: datetime, deadline: datetime
+    ) -> CompleteResponse | None:
+        """Claim a key for this run on all copies; return the stored response if the operation has run.
 
-        Faults: 'store_away', and this run does not happen; 'once_running' or 'outcome_unknown', and another
-        run has the key.
+        Raises Fault 'store_away' (this run does not happen), 'once_running' or 'outcome_unknown' (another
+        run holds the key).
         """
-        keeping = timedelta(seconds=self.node.state.policy.get('once_keeping_s', KEEPING_S))
-        until = (self.ctx.clock.wall() + keeping).timestamp()
-        command = {'op': 'once_begin', 'key': record, 'digest': '', 'run': run, 'until': until}
+        retention = timedelta(seconds=self.node.state.policy.get('once_keeping_s', DEFAULT_RETENTION_S))
+        expires_at = (self.ctx.clock.wall() + retention).timestamp()
+        command = {'op': 'once_begin', 'key': record_key, 'digest': '', 'run': run_id, 'until': expires_at}
         try:
-            ret = await self.node.shelf(record, command, start + (deadline - start) * STORE_WAIT)
+            reply = await self.node.shelf(
+                record_key, command, start + (deadline - start) * STORE_WAIT_FRACTION
+            )
         except Fault as e:
-            if e.code == 'store_away':  # the claim may have been taken
-                await self.void(record, run)
+            if e.code == 'store_away':  # the claim may have been applied
+                await self.release(record_key, run_id)
             raise
-        if ret['state'] == 'fresh':
+        if reply['state'] == 'fresh':
             return None
-        if ret['state'] == 'done':
+        if reply['state'] == 'done':
             self.ctx.journal.count('once.replayed')
-            return self.replay(ret['ret'], request)
+            return self.replay(reply['ret'], request)
         self.ctx.journal.count('once.unknown')
-        # a copy of our claim may still be on its way: it must not begin anything once that other run is over
-        self.give_up(record, run)
-        if ret['age_s'] < RUNNING_MOST.total_seconds():
+        # A duplicate of our claim may still be in flight: it must not start a run once the other has ended.
+        self.send_release(record_key, run_id)
+        if reply['age_s'] < MAX_RUNNING_TIME.total_seconds():
             raise Fault(
-                'once_running', 'begun and not yet ended; ask again with the same key', wait_ms=ASK_AGAIN_MS
+                'once_running',
+                'the operation is still running; retry with the same key',
+                wait_ms=RETRY_AFTER_MS,
             )
-        raise Fault('outcome_unknown', 'begun once, and how it ended is not known; it will not be run again')
-
-    def replay(self, kept: list, request: Request) -> WholeAnswer:
-        """The kept answer of another try, under the id of this one."""
-        status, rows, body = kept
+        raise Fault(
+            'outcome_unknown',
+            'the operation was started and its outcome is unknown; it will not be run again',
+        )
+
+    def replay(self, stored: list, request: Request) -> CompleteResponse:
+        """Return the stored response of an earlier attempt, with the request id of this one."""
+        status, rows, body = stored
         headers = HTTPHeaders()
         for name, value in rows:
             headers.add(name, value)
-        if self.dialect.request in headers:
-            headers[self.dialect.request] = request.ident
-        return WholeAnswer(status, headers, body)
-
-    async def void(self, record: str, run: str) -> None:
-        """Keep that an operation certainly did not run by us, so that its next try may. The caller's refusal
-        waits for it, though not for long: at worst that next try hears for a while that it is at work."""
-        await asyncio.wait((self.give_up(record, run),), timeout=WRITE_WAIT.total_seconds())
-
-    def give_up(self, record: str, run: str) -> asyncio.Task:
-        """Keep that this run certainly never happens, without anyone waiting for it."""
-        command = {'op': 'once_end', 'key': record, 'run': run, 'void': True}
-        return self.node.spawn(self.node.settle(record, command))
-
-    async def keep(self, record: str, run: str, answer: WholeAnswer) -> None:
-        """Keep the answer of an operation for its repeats. That it was begun is kept already, so the answer
-        need not wait long for this: at worst a repeat hears that it is at work."""
-        rows = [list(header) for header in answer.headers.get_all()]
-        command = {'op': 'once_end', 'key': record, 'run': run, 'ret': [answer.status, rows, answer.body]}
-        work = self.node.spawn(self.node.settle(record, command))
-        await asyncio.wait((work,), timeout=WRITE_WAIT.total_seconds())
+        if self.dialect.request_id in headers:
+            headers[self.dialect.request_id] = request.request_id
+        return CompleteResponse(status, headers, body)
+
+    async def release(self, record_key: str, run_id: str) -> None:
+        """Record that this run did not happen, so that the next attempt may run; wait a bounded time for it.
+
+        If the store answers later, a retry gets 'once_running' until then.
+        """
+        await asyncio.wait(
+            (self.send_release(record_key, run_id),), timeout=STORE_WRITE_TIMEOUT.total_seconds()
+        )
+
+    def send_release(self, record_key: str, run_id: str) -> asyncio.Task:
+        """Start a background task that records that this run never happens; return the task."""
+        command = {'op': 'once_end', 'key': record_key, 'run': run_id, 'void': True}
+        return self.node.spawn(self.node.settle(record_key, command))
+
+    async def save_response(self, record_key: str, run_id: str, response: CompleteResponse) -> None:
+        """Store the response of an operation for its retries, and wait a bounded time for it.
+
+        The claim is stored already: if the store answers later, a retry gets 'once_running' until then.
+        """
+        rows = [list(header) for header in response.headers.get_all()]
+        command = {
+            'op': 'once_end',
+            'key': record_key,
+            'run': run_id,
+            'ret': [response.status, rows, response.body],
+        }
+        work = self.node.spawn(self.node.settle(record_key, command))
+        await asyncio.wait((work,), timeout=STORE_WRITE_TIMEOUT.total_seconds())
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -1194,7 +1194,7 @@
                 await self.ctx.web.close()
 
     def gateway_tasks(self) -> list:
-        return [self.gateway.tidy()] if self.gateway else []
+        return [self.gateway.close_idle_connections()] if self.gateway else []
 
     async def drain(self, limit: timedelta) -> None:
         """Take nothing new, refuse what waits, let what runs finish: `await node.drain(of_ms(5000))`."""
