--- a/features/answers.feature
+++ b/features/answers.feature
@@ -1,12 +1,12 @@
-Feature: An answer reaches its own caller, and work that may not repeat is sent once
+Feature: An answer reaches its own caller, and a request that may not repeat is sent once
 
-  # ---- errors that do not say whose they are
+  # ---- errors without a request id
 
-  Scenario Outline: on a kept connection an error without an id is no answer: <acts> to <path>
+  Scenario Outline: on a reused connection an error without an id is no answer: <acts> to <path>
     Given 1 node and the replicas "a"
     And the replicas will in turn "<acts>"
-    When "<path>" is asked
-    And "<path>" is asked
+    When "<path>" is requested
+    And "<path>" is requested
     Then the answer is 200
     And it ran 1 times
     And the caller has the answer of its own run
@@ -19,11 +19,11 @@
       | answer, latenoid 503 | /any/x   |
       | answer, latenoid 503 | /keyed/x |
 
-  Scenario Outline: on a kept connection an error without an id promises nothing: <act> to <path>
+  Scenario Outline: on a reused connection an error without an id promises nothing: <act> to <path>
     Given 1 node and the replicas "a"
     And the replicas will in turn "<first>, <act>"
-    When "<path>" is asked
-    And "<path>" is asked with 400 ms
+    When "<path>" is requested
+    And "<path>" is requested with 400 ms
     Then the answer is 504
 
     Examples:
@@ -33,13 +33,13 @@
       | answer   | noid 503 | /keyed/x |
       | stream 3 | noid 503 | /turn/x  |
 
-  Scenario Outline: as the first answer of a connection an error without an id is taken: <act>
+  Scenario Outline: on a new connection an error without an id is the answer: <act>
     Given 1 node and the replicas "a"
     And the replicas will in turn "<act>"
-    When "/once/x" is asked
+    When "/once/x" is requested
     Then the answer is <status>
     And it ran 0 times
-    And the next request of the replica comes on another connection
+    And the next request reaches the replica on another connection
 
     Examples:
       | act      | status |
@@ -48,14 +48,14 @@
 
   # ---- answers without a length
 
-  Scenario Outline: an answer without a length is whole once its connection has ended: <act> to <path>
+  Scenario Outline: an answer without a length is complete once its connection is closed: <act> to <path>
     Given 1 node and the replicas "a"
     And the replicas will in turn "<act>"
-    When "<path>" is asked
+    When "<path>" is requested
     Then the answer is 200
     And it ran 1 times
-    And the caller has the whole <what> of its own run
-    And the next request of the replica comes on another connection
+    And the caller has the complete <what> of its own run
+    And the next request reaches the replica on another connection
 
     Examples:
       | act           | path     | what   |
@@ -65,10 +65,10 @@
       | endlessstream | /turn/x  | stream |
       | endlessstream | /line/x  | stream |
 
-  Scenario Outline: an answer without a length that is reset is not whole: <act> to <path>
+  Scenario Outline: an answer without a length that is reset is not complete: <act> to <path>
     Given 1 node and the replicas "a"
     And the replicas will in turn "<act>"
-    When "<path>" is asked
+    When "<path>" is requested
     Then the answer is 502
     And it ran 1 times
 
@@ -82,8 +82,8 @@
   Scenario Outline: a stream without a length that is reset does not look complete: <act>
     Given 1 node and the replicas "a"
     And the replicas will in turn "<act>"
-    When "/turn/x" is asked
-    Then the caller gets no whole answer
+    When "/turn/x" is requested
+    Then the caller gets no complete answer
     And it ran 1 times
 
     Examples:
@@ -91,32 +91,32 @@
       | brokenstream 0  |
       | brokenstream 50 |
 
-  # ---- answers that come before the request's body has been read
+  # ---- answers before the request's body has been read
 
-  Scenario Outline: after an early answer nothing but the rest of the body comes on its connection: <status>
+  Scenario Outline: after an early answer its connection carries nothing but the rest of the body: <status>
     Given 1 node and the replicas "a b"
     And the replicas will in turn "early <status>"
-    When "/once/x" is asked with a long body
-    And requests are asked before the replica has read on, and after it
+    When "/once/x" is requested with a long body
+    And requests are sent before and after the replica reads the rest of the body
     Then the answer is 200
     And each got its own answer
-    And what the replica read on is the rest of the body or the end of the connection
+    And what the replica then reads is the rest of the body or the end of the connection
 
     Examples:
       | status |
       | 200    |
       | 503    |
 
-  # ---- kept connections that end between the last look at them and the answer
+  # ---- idle connections that end between the last check and the answer
 
-  Scenario Outline: a kept connection that was reset after the last look at it costs nothing: <path>
+  Scenario Outline: an idle connection that is reset after the last check fails no request: <path>
     Given 1 node and the replicas "a"
-    When "<path>" is asked
-    And the kept connections will be reset between the look at them and the write
-    And "<path>" is asked
+    When "<path>" is requested
+    And the idle connections will be reset between the check and the write
+    And "<path>" is requested
     Then the answer is 200
     And it ran 1 times
-    And a connection was reset in time
+    And at least one connection was reset
 
     Examples:
       | path     |
@@ -126,11 +126,11 @@
       | /turn/x  |
       | /line/x  |
 
-  Scenario Outline: a kept connection that ends under a request makes no promise: <path>
+  Scenario Outline: a reused connection that ends during a request promises nothing: <path>
     Given 1 node and the replicas "a"
     And the replicas will in turn "<first>, drop"
-    When "<path>" is asked
-    And "<path>" is asked
+    When "<path>" is requested
+    And "<path>" is requested
     Then the answer is 502
     And the request was dropped once and ran nowhere
 
@@ -142,11 +142,11 @@
       | stream 3 | /turn/x  |
       | stream 3 | /line/x  |
 
-  Scenario Outline: what may be repeated goes on elsewhere when its kept connection ends: <path>
+  Scenario Outline: a repeatable request is run elsewhere when its reused connection ends: <path>
     Given 1 node and the replicas "a b"
-    And both replicas have kept connections
+    And idle connections to both replicas are open
     And the replicas will in turn "drop"
-    When "<path>" is asked
+    When "<path>" is requested
     Then the answer is 200
     And it ran 1 times
 
@@ -155,44 +155,44 @@
       | /any/x  |
       | /line/x |
 
-  Scenario: a key whose connection ended under it is never run again
+  Scenario: a keyed request whose connection ended is never run again
     Given 2 nodes and the replicas "a b"
-    And both replicas have kept connections
+    And idle connections to both replicas are open
     And the replicas will in turn "drop"
-    When a keyed request is lost
+    When a keyed request is answered 502
     Then its repeats are 409 at first and 502 after half a minute, and it ran at most once
 
-  # ---- keyed work, over all orders of events
+  # ---- keyed operations, over all orders of events
 
-  Scenario Outline: in every order of events of <tries> tries with one key it runs once at most, and never blocks
-    When every order of events of <tries> tries with one key is played
-    Then no promise was broken, over at least <states> states
+  Scenario Outline: in every order of events of <attempts> attempts with one key it runs once at most, and never blocks
+    When every order of events of <attempts> attempts with one key is explored
+    Then no invariant was violated in at least <states> states
 
     Examples:
-      | tries | states |
-      | 1     | 10     |
-      | 2     | 500    |
-      | 3     | 20000  |
+      | attempts | states |
+      | 1        | 10     |
+      | 2        | 500    |
+      | 3        | 20000  |
 
-  Scenario: a repeat that hears 409 is given up in the store, so that a late copy of its claim begins nothing
+  Scenario: a repeat that gets 409 is recorded as not run, so that a late copy of its claim starts nothing
     Given 2 nodes and the replicas "a b"
     When a keyed request is held at its replica and repeated at both nodes
-    Then the store knows that the repeats will not run
+    Then the store has recorded that the repeats will not run
     And the first is answered, and later repeats get that answer
 
-  Scenario: parts that moved and lost returns of the store neither run a keyed request twice nor refuse it
+  Scenario: moved partitions and lost replies of the store neither run a keyed request twice nor refuse it
     Given 2 nodes and the replicas "a b"
-    And the returns of "once_begin, once_end" are lost once
-    And every part has moved
-    When a keyed request is asked at node 1 and again at node 2 and at node 1
+    And the store replies to "once_begin, once_end" are lost once
+    And every partition has moved to another primary
+    When a keyed request is sent to node 1, then to node 2 and to node 1 again
     Then all three have one status, body, type and signature, and it ran once
 
-  Scenario Outline: once-work whose key cannot be looked up is never refused as not run, as an earlier try may have run: <cause>
+  Scenario Outline: a keyed operation whose key cannot be looked up is never refused as not run, as an earlier attempt may have run: <cause>
     Given a routing node whose store <cause>
-    When once-work is claimed there
-    Then its caller is told "outcome_unknown", and this try is given up in the store
+    When a keyed operation is claimed there
+    Then its caller gets "outcome_unknown", and the store records that this attempt does not run
 
     Examples:
       | cause                             |
-      | does not return in time           |
+      | does not reply in time            |
       | says that its disk takes no writes |
--- a/features/gateway.feature
+++ b/features/gateway.feature
@@ -1,21 +1,21 @@
-Feature: A gateway carries requests by host and path, and keeps every promise of its answers
+Feature: A gateway routes requests by host and path, and its answers never promise more than is certain
 
-  # ---- as it came
+  # ---- forwarding
 
-  Scenario: a request and its answer pass as they came
+  Scenario: a request and its answer are forwarded unchanged
     Given 1 node and the replicas "a"
-    When a request with a query, odd bytes and headers of its own is passed on
-    Then the replica ran it as it came, and its answer came back as it was
-    And what concerns one connection only was not passed on
+    When a request with a query, a binary body and custom headers is forwarded
+    Then the replica got the request unchanged, and the caller got the answer unchanged
+    And hop-by-hop headers were not forwarded
 
-  Scenario: many requests on one connection, bodies in chunks, and requests sent ahead each get their own answer
+  Scenario: plain, chunked and pipelined requests on one connection each get their own answer
     Given 1 node and the replicas "a b"
-    When a caller sends requests of all these kinds on one connection
-    Then each is answered in its turn, and the replicas ran just these
+    When a caller sends plain, chunked and pipelined requests on one connection
+    Then each is answered in order, and the replicas ran exactly these
 
-  Scenario Outline: what one server would read otherwise than another is not passed on: <kind>
+  Scenario Outline: a request with ambiguous framing is not forwarded: <kind>
     Given 1 node and the replicas "a"
-    When a request is sent whose end is in doubt: <kind>
+    When a request with ambiguous framing is sent: <kind>
     Then it is refused or run as one request, and nothing else ran
 
     Examples:
@@ -26,11 +26,11 @@
       | chunked twice           |
       | a space before a colon  |
 
-  Scenario Outline: what comes before an answer, or has no body, passes well: <act> to <method>
+  Scenario Outline: interim responses and responses without a body are handled: <act> to <method>
     Given 1 node and the replicas "a"
     And the replicas will in turn "<act>"
-    When a request by <method> is asked
-    Then the answer is <status> without what is not its own
+    When a <method> request is sent
+    Then the answer is <status> with only its own headers and body
     And the next request on the same connection gets its own answer
 
     Examples:
@@ -40,51 +40,51 @@
       | empty 304 | GET    | 304    |
       | empty 204 | POST   | 204    |
 
-  Scenario: of a host's routes the longest prefix counts, and no route is 404
+  Scenario: the route with the longest prefix of a host is taken, and no route is 404
     Given 1 node and the replicas "a"
-    When "/none/x" is asked
+    When "/none/x" is requested
     Then the answer is 404
     And nothing ran
 
   Scenario: without a lease nothing is sent
     Given 1 node and the replicas "a"
     And a node without a lease
-    When "/once/x" is asked at node 2
-    Then the answer is 503 with a time to come back
+    When "/once/x" is requested at node 2
+    Then the answer is 503 with a Retry-After header
     And nothing ran
 
-  Scenario: requests of a session and of a key keep to one side of a split, and all go where the weights say
+  Scenario: requests of a session stay with one pool of a split, and pools get requests by their weights
     Given 1 node and the replicas "a b"
     And the routes go to "a" and "b" by the weights 3 and 1
-    When 200 sessions ask twice each
-    Then each session kept to one replica, and about a quarter went to "b"
+    When 200 sessions send two requests each
+    Then each session stayed with one replica, and about a quarter went to "b"
     And with a weight of 0 none goes to "b"
 
-  Scenario: without affinity each part of a split gets its weight's share of the requests, however few sessions ask
+  Scenario: without affinity each pool of a split gets its share of the requests, even with few sessions
     Given 2 nodes and the replicas "a b"
     And the routes go to "a" and "b" by the weights 3 and 1 without affinity
-    When 4 sessions ask 50 times each
-    Then the share of "b" lies within 0.02 of 0.25
+    When 4 sessions send 50 requests each
+    Then the share of "b" is within 0.02 of 0.25
 
-  Scenario: a policy that comes while requests run counts for the next ones
+  Scenario: a policy that is applied while requests run takes effect for the next ones
     Given 1 node and the replicas "a"
-    When a policy without the route comes while a request runs
+    When a policy without the route is applied while a request runs
     Then that request is answered, and the next is 404
 
   # ---- turns
 
-  Scenario: each event is passed on as it comes, and the next turn brings all that was said
+  Scenario: each event is forwarded at once, and the next turn gets the whole conversation
     Given 2 nodes and the replicas "a b"
-    When a turn of 3 events is taken, each sent only once the one before has come
-    Then it is whole, and its events are those of the replica
-    And the next turn's body is all that was said and its own input, at the node that took the first
-    And so it is at a node that has seen none of it
-    And so it is when another program goes on from there, and again from that
+    When a turn of 3 events is run, each sent only after the caller has the one before
+    Then it is complete, and its events are those of the replica
+    And the next turn's body is the conversation and its own input, at the node that ran the first
+    And the same holds at a node that has seen none of it
+    And the same holds when another program continues it, and continues that again
 
   Scenario Outline: a stream that must not run twice and breaks ("<act>") never looks complete
     Given 1 node and the replicas "a b"
     And the replicas will in turn "<act>"
-    When the turn "t1" is taken
+    When the turn "t1" is run
     Then the answer is 200 and cut short
     And it ran 1 times
     And a turn that continues it is answered 404
@@ -96,11 +96,11 @@
       | half 2  |
       | break 0 |
 
-  Scenario Outline: a stream that may be resumed is taken up after "<acts>" with one head and no event lost
+  Scenario Outline: a stream that may be resumed is resumed after "<acts>" with one set of headers and no event lost
     Given 1 node and the replicas "a b c"
     And the replicas will in turn "<acts>"
-    When "/line/x" is asked
-    Then the answer is 200 and whole, with the head of the first replica
+    When "/line/x" is requested
+    Then the answer is 200 and complete, with the headers of the first replica
     And its events are 1 to 5, each once
     And it ran <runs> times, each from where the one before broke off
 
@@ -115,14 +115,14 @@
       | break 2, full, stream 5    | 2    |
       | reset, stream 5            | 2    |
 
-  Scenario Outline: events that come together with the break ("<act>") are neither lost nor doubled
+  Scenario Outline: events that arrive together with the end of the connection ("<act>") are neither lost nor duplicated
     Given 1 node and the replicas "a b c"
     And the replicas will in turn "<act>, stream 5"
-    When "/line/x" is asked
-    Then the answer is 200 and whole, with the head of the first replica
+    When "/line/x" is requested
+    Then the answer is 200 and complete, with the headers of the first replica
     And its events are 1 to 5, each once
     Given the replicas will in turn "<act>"
-    When the turn "t1" is taken
+    When the turn "t1" is run
     Then the answer is 200 and cut short
     And its events are the first of those of the replica, and only they have been charged
 
@@ -131,23 +131,23 @@
       | burst 1 |
       | burst 3 |
 
-  Scenario: a caller that resumes says from where
+  Scenario: a caller may resume a stream from an event id
     Given 1 node and the replicas "a"
     And the replicas will in turn "stream 5"
-    When "/line/x" is asked after event 3
+    When "/line/x" is requested after event 3
     Then its events are 4 to 5, each once
 
-  # ---- turned away, failed, lost
+  # ---- rejected, failed, lost
 
-  Scenario Outline: what one replica turns away goes to another, and 503 is said only if nothing ran: <path>
+  Scenario Outline: a request that one replica rejects goes to another, and 503 is answered only if nothing ran: <path>
     Given 1 node and the replicas "a b"
     And the replicas will in turn "full"
-    When "<path>" is asked
+    When "<path>" is requested
     Then the answer is 200
     And it ran 1 times
     Given the replicas will in turn "full, full, full, full, full, full"
-    When "<path>" is asked
-    Then the answer is 503 with a time to come back
+    When "<path>" is requested
+    Then the answer is 503 with a Retry-After header
     And it ran 0 times
 
     Examples:
@@ -158,10 +158,10 @@
       | /turn/x  |
       | /line/x  |
 
-  Scenario Outline: a <status> that does not say "not run" is passed on as no promise: <path>
+  Scenario Outline: a <status> of a replica that does not say "not run" is not forwarded as a promise: <path>
     Given 1 node and the replicas "a b"
     And the replicas will in turn "status <status>"
-    When "<path>" is asked
+    When "<path>" is requested
     Then the answer is 502
     And it ran 1 times
 
@@ -174,10 +174,10 @@
       | /turn/x  | 503    |
       | /turn/x  | 429    |
 
-  Scenario Outline: what may be repeated is run elsewhere after "<acts>"
+  Scenario Outline: a repeatable request is run elsewhere after "<acts>"
     Given 1 node and the replicas "a b"
     And the replicas will in turn "<acts>"
-    When "/any/x" is asked
+    When "/any/x" is requested
     Then the answer is 200
     And it ran 2 times
 
@@ -191,10 +191,10 @@
       | garbage    |
       | silent     |
 
-  Scenario Outline: what may be repeated is no refusal once an attempt may have run: "<acts>"
+  Scenario Outline: a repeatable request is not refused once an attempt may have run: "<acts>"
     Given 1 node and the replicas "a b"
     And the replicas will in turn "<acts>"
-    When "/any/x" is asked
+    When "/any/x" is requested
     Then the answer is 502
     And it ran 1 times
 
@@ -203,10 +203,10 @@
       | reset, full, full, full |
       | status 503, full, full  |
 
-  Scenario Outline: what must not be repeated is 502 after "<act>" and has run once: <path>
+  Scenario Outline: a request that must not be repeated is 502 after "<act>" and has run once: <path>
     Given 1 node and the replicas "a b"
     And the replicas will in turn "<act>"
-    When "<path>" is asked
+    When "<path>" is requested
     Then the answer is 502
     And it ran 1 times
 
@@ -224,60 +224,60 @@
   Scenario: a silent replica is waited for until the deadline, and its request is not sent again
     Given 1 node and the replicas "a b"
     And the replicas will in turn "silent"
-    When "/once/x" is asked with 400 ms
+    When "/once/x" is requested with 400 ms
     Then the answer is 504
     And it ran 1 times
 
-  Scenario: a replica that cannot be connected to costs nothing where another is
+  Scenario: a replica that refuses connections fails no request while another is available
     Given 1 node and the replicas "a b"
     And the replica "a" does not listen
-    When "/once/x" is asked 6 times
+    When "/once/x" is requested 6 times
     Then each got its own answer
     Given the replica "b" does not listen
-    When "/once/x" is asked
-    Then the answer is 503 with a time to come back
+    When "/once/x" is requested
+    Then the answer is 503 with a Retry-After header
     And it ran 0 times
 
-  Scenario: a stream that its deadline ends does not look complete
+  Scenario: a stream that is ended by its deadline does not look complete
     Given 1 node and the replicas "a b"
     And the replicas will in turn "paced 3"
-    When "/turn/x" is asked with 400 ms
-    Then the caller gets no whole answer
+    When "/turn/x" is requested with 400 ms
+    Then the caller gets no complete answer
     And the replica's stream is cut
 
-  Scenario: where no other replica is, a slow one is waited for although its request may be repeated
+  Scenario: without another replica, the gateway waits for a slow one even for a repeatable request
     Given 1 node and the replicas "a"
     When the only replica takes longer than usual for "/any/x", and then answers
     Then the answer is 200
     And it ran 1 times
 
-  Scenario: where no other replica is, its own 500 is passed on although its request may be repeated
+  Scenario: without another replica, its own 500 is forwarded even for a repeatable request
     Given 1 node and the replicas "a"
     And the replicas will in turn "status 500"
-    When "/any/x" is asked
+    When "/any/x" is requested
     Then the answer is 500
     And it ran 1 times
 
-  Scenario: a replica's own 500 is passed on as it was
+  Scenario: a replica's own 500 is forwarded unchanged
     Given 1 node and the replicas "a b"
     And the replicas will in turn "status 500"
-    When "/once/x" is asked
+    When "/once/x" is requested
     Then the answer is 500
     And it ran 1 times
 
-  Scenario: a replica that ended while its connection rested costs nothing
+  Scenario: a replica that closed an idle connection fails no request
     Given 1 node and the replicas "a"
     And the replicas will in turn "leave"
-    When "/once/x" is asked
-    And "/once/x" is asked
+    When "/once/x" is requested
+    And "/once/x" is requested
     Then the answer is 200
     And it ran 1 times
 
-  # ---- keyed
+  # ---- keyed operations
 
   Scenario: a repeat through another node gets the first answer, whatever it was
     Given 2 nodes and the replicas "a b"
-    When a keyed request is asked at node 1 and again at node 2 and at node 1
+    When a keyed request is sent to node 1, then to node 2 and to node 1 again
     Then all three have one status, body, type and signature, and it ran once
     And the same for a replica's 500
 
@@ -287,20 +287,20 @@
     Then the repeats are 409 and another key is 200
     And the first is answered, and later repeats get that answer
 
-  Scenario: of many tries at once with one key one runs
+  Scenario: of many concurrent attempts with one key one runs
     Given 2 nodes and the replicas "a b"
-    When 12 tries with one key are sent at once to both nodes
+    When 12 attempts with one key are sent to both nodes at once
     Then one ran, and each is answered with that run or 409
 
-  Scenario: a keyed request whose caller has left is seen through, and its repeat gets the answer
+  Scenario: a keyed request is completed after its caller has disconnected, and its repeat gets the answer
     Given 2 nodes and the replicas "a b"
-    When the caller of a keyed request leaves while it runs
+    When the caller of a keyed request disconnects while it runs
     Then its repeat gets the answer of that run
 
   Scenario Outline: a keyed request that may have run is never run again: <act>
     Given 2 nodes and the replicas "a b"
     And the replicas will in turn "<act>"
-    When a keyed request is lost
+    When a keyed request is answered 502
     Then its repeats are 409 at first and 502 after half a minute, and it ran once
 
     Examples:
@@ -310,38 +310,38 @@
       | garbage           |
       | full, reset       |
 
-  Scenario: a keyed request that was refused runs on its next try
+  Scenario: a keyed request that was refused runs on its next attempt
     Given 2 nodes and the replicas "a b"
     And the replicas will in turn "full, full, full, full"
     When a keyed request is refused
-    Then its next try at the other node runs, and runs once
+    Then its next attempt at the other node runs, and runs once
 
-  Scenario: a keyed request whose end is unknown never runs again
+  Scenario: a keyed request whose outcome is unknown never runs again
     Given 2 nodes and the replicas "a b"
     And the replicas will in turn "reset"
-    When a keyed request is lost
+    When a keyed request is answered 502
     Then its repeats are 409 at first and 502 after half a minute, and it ran once
 
-  Scenario: a keyed request is not run while its store is away, and runs once it is back
+  Scenario: a keyed request is not run while its store is unreachable, and runs afterwards
     Given 2 nodes and the replicas "a b"
-    And every part is away
+    And every partition is unreachable
     When a keyed request is refused
     Then nothing ran
-    Given every part is back
-    Then its next try at the other node runs, and runs once
+    Given every partition is reachable again
+    Then its next attempt at the other node runs, and runs once
 
-  Scenario: a lost return of the store neither runs a keyed request twice nor refuses it
+  Scenario: a lost reply of the store neither runs a keyed request twice nor refuses it
     Given 2 nodes and the replicas "a b"
-    And the returns of "once_begin, once_end" are lost once
-    When a keyed request is asked at node 1 and again at node 2 and at node 1
+    And the store replies to "once_begin, once_end" are lost once
+    When a keyed request is sent to node 1, then to node 2 and to node 1 again
     Then all three have one status, body, type and signature, and it ran once
 
-  # ---- surplus answers
+  # ---- unsolicited responses
 
-  Scenario Outline: a surplus answer ("<acts>") reaches no caller
+  Scenario Outline: an unsolicited response ("<acts>") reaches no caller
     Given 1 node and the replicas "a"
     And the replicas will in turn "<acts>"
-    When "<path>" is asked 4 times
+    When "<path>" is requested 4 times
     Then each got its own answer
 
     Examples:
@@ -351,10 +351,10 @@
       | late, late, surplus   | /once/x |
       | surplus, late         | /any/x  |
 
-  Scenario Outline: a surplus answer ("<acts>") gets into no stream
+  Scenario Outline: an unsolicited response ("<acts>") gets into no stream
     Given 1 node and the replicas "a"
     And the replicas will in turn "<acts>"
-    When "/turn/x" is asked 3 times
+    When "/turn/x" is requested 3 times
     Then each got its own stream
 
     Examples:
@@ -363,10 +363,10 @@
       | more, stream 3, stream 3          |
       | more, latestream, more            |
 
-  Scenario Outline: an answer that does not say whose it is, or is reset before its end, is none: <act>
+  Scenario Outline: a response without a request id, or reset before its end, is not forwarded: <act>
     Given 1 node and the replicas "a"
     And the replicas will in turn "<act>"
-    When "/once/x" is asked with 600 ms
+    When "/once/x" is requested with 600 ms
     Then the answer is no success
     And it ran 1 times
 
@@ -378,76 +378,76 @@
 
   # ---- budgets
 
-  Scenario: a spent budget is told as such, and nothing runs
+  Scenario: a spent budget is answered 429, and nothing runs
     Given 2 nodes and the replicas "a b"
-    When turns of 30 tokens are taken at both nodes until the budget of 60 is spent
+    When turns of 30 tokens are run at both nodes until the budget of 60 is spent
     Then the next is 429 at both nodes, and did not run
 
-  Scenario: turns at once never put out more than the budget and one turn
+  Scenario: concurrent turns never exceed the budget by more than one turn
     Given 2 nodes and the replicas "a b c"
-    When 10 turns of 50 tokens with a budget of 100 are taken at once at both nodes
-    Then no more than 150 tokens were given, and those refused did not run
+    When 10 turns of 50 tokens with a budget of 100 are run at once at both nodes
+    Then no more than 150 tokens were delivered, and the refused turns did not run
 
-  Scenario: what a broken turn has given counts
+  Scenario: the delivered tokens of a broken turn are charged
     Given 2 nodes and the replicas "a b"
     And the replicas will in turn "break 3"
-    When the turn "t1" is taken with a budget of 30
+    When the turn "t1" is run with a budget of 30
     Then the answer is 200 and cut short
     And the next is 429 at both nodes, and did not run
 
-  Scenario: a turn that certainly did not run gives back what it held
+  Scenario: a turn that did not run releases its reserved tokens
     Given 1 node and the replicas "a b"
     And the replicas will in turn "full, full, full, full"
-    When the turn "t1" is taken with a budget of 30
-    Then the answer is 503 with a time to come back
-    And the budget is whole again
+    When the turn "t1" is run with a budget of 30
+    Then the answer is 503 with a Retry-After header
+    And the whole budget is available again
 
-  # ---- turns that are not there, stores that are away
+  # ---- unknown turns, unreachable stores
 
-  Scenario: an unknown turn is 404 only if every part says so
+  Scenario: an unknown turn is 404 only if every partition says so
     Given 1 node and the replicas "a"
-    When a turn after an unknown one is asked
+    When a turn that continues an unknown one is requested
     Then the answer is 404
     And nothing ran
-    And with any one part away it is 503, and nothing ran
+    And with any one partition unreachable it is 503, and nothing ran
 
-  Scenario: with its store away a turn is refused before it is sent
+  Scenario: a turn is refused before it is sent while its store is unreachable
     Given 1 node and the replicas "a"
-    And every part is away
-    When the turn "t1" is taken
-    Then the answer is 503 with a time to come back
+    And every partition is unreachable
+    When the turn "t1" is run
+    Then the answer is 503 with a Retry-After header
     And nothing ran
-    Given every part is back
-    When the turn "t2" is taken
+    Given every partition is reachable again
+    When the turn "t2" is run
     Then the answer is 200
 
-  Scenario: lost returns of the store and parts that moved neither double nor lose a turn
+  Scenario: lost replies of the store and moved partitions neither duplicate nor lose a turn
     Given 2 nodes and the replicas "a b"
-    And the returns of "turn_begin, turn_end" are lost once
-    And every part has moved
-    When the turn "t1" is taken
+    And the store replies to "turn_begin, turn_end" are lost once
+    And every partition has moved to another primary
+    When the turn "t1" is run
     Then the answer is 200
     And it ran 1 times
     And the turn "t1" has cost 30 tokens and can be continued at node 2
 
-  Scenario: a turn that could not be kept never looks complete
+  Scenario: a turn that could not be retained never looks complete
     Given 1 node and the replicas "a"
-    When the store goes away while a turn runs
-    Then its events came, but not its end
+    When the store becomes unreachable while a turn runs
+    Then its events arrived, but not the end of the stream
 
-  # ---- leaving, callers that leave, replicas that leave
+  # ---- draining, disconnected callers, removed replicas
 
-  Scenario: a node that drains says so at once and sees all through
+  Scenario: a draining node reports it at once and completes all requests
     Given 1 node and the replicas "a b"
     When the node drains while a stream runs
-    Then it is not ready at once
+    Then it reports at once that it is not ready
     And a new request is served, and its connection closed
-    And the stream ends whole, and then the node is drained
+    And the stream is completed, and then the node is drained
 
   Scenario Outline: a node that stops answers a request whose replica is silent, route <route>
     Given 1 node and the replicas "a"
     When the node stops within <ms> ms while "<path>" waits for a silent replica
-    Then the request has a whole answer of status <status> before the node has stopped
+    Then the request has a complete answer of status <status> before the node has stopped
 
     Examples:
       | route | path     | ms   | status |
@@ -456,14 +456,14 @@
       | keyed | /keyed/x | 3600 | 504    |
       | turn  | /turn/x  | 3600 | 504    |
 
-  Scenario: a request that comes shortly before a node has stopped is answered as well
+  Scenario: a request that arrives shortly before a node has stopped is answered as well
     Given 1 node and the replicas "a"
-    When "/once/x" comes 3000 ms after a node with a silent request under way was told to stop within 3600 ms
-    Then the request has a whole answer of status 504 before the node has stopped
+    When "/once/x" is requested 3000 ms after a node with an unanswered request was told to stop within 3600 ms
+    Then the request has a complete answer of status 504 before the node has stopped
 
-  Scenario Outline: a change that takes a class away while work of it is under way, <moment>
+  Scenario Outline: a class is removed while a request of it is in progress, <moment>
     Given 1 node and the replicas "a b"
-    When a policy without the class of its routes comes <moment>
+    When a policy without the class of its routes is applied <moment>
     Then the request has an answer, and the node serves the next one
 
     Examples:
@@ -472,20 +472,20 @@
       | as its request arrives               |
       | while its key is claimed             |
 
-  Scenario: a caller that leaves cuts the replica's stream
+  Scenario: a disconnected caller cuts the replica's stream
     Given 1 node and the replicas "a"
-    When a caller leaves in the middle of a stream
-    Then the replica's stream is cut, and the turn is not kept
+    When a caller disconnects in the middle of a stream
+    Then the replica's stream is cut, and the turn is not retained
 
-  Scenario: a caller that leaves before the first event cuts it as well
+  Scenario: a caller that disconnects before the first event cuts it as well
     Given 1 node and the replicas "a"
-    When a caller leaves before the first event
+    When a caller disconnects before the first event
     Then the replica's stream is cut
 
-  Scenario Outline: a replica that is <how> in the list gets nothing new
+  Scenario Outline: a replica that is <how> in the listing gets no new request
     Given 1 node and the replicas "a b"
     And the replica "a" is <how>
-    When "/any/x" is asked 12 times
+    When "/any/x" is requested 12 times
     Then each got its own answer
     And all ran at "b"
 
@@ -494,10 +494,10 @@
       | draining |
       | gone     |
 
-  Scenario: at a reused address another life is never counted as run
+  Scenario: a request that reaches another process at a reused address counts as not run
     Given 1 node and the replicas "a"
-    And another life has taken the address of "a"
-    When "/once/x" is asked
-    Then the answer is 503 with a time to come back
+    And another replica process has taken the address of "a"
+    When "/once/x" is requested
+    Then the answer is 503 with a Retry-After header
     And nothing ran
-    And the replica has turned it away
+    And the replica has rejected it
--- a/features/sight.feature
+++ b/features/sight.feature
@@ -3,14 +3,14 @@
   Scenario: a request whose attempts failed is kept with its replicas, times and causes
     Given 1 node and the replicas "a b"
     And the replicas will in turn "close, close"
-    When "/any/x" is asked
+    When "/any/x" is requested
     Then the failures tell of it with status 502 and 2 attempts, each lost at a replica of its own
     And the log has a line "request_failed" with its id
 
   Scenario: a request that was refused before any attempt is kept with the cause
     Given 1 node and the replicas "a"
-    And every part is away
-    When "/turn/x" is asked with 300 ms
+    And every partition is unreachable
+    When "/turn/x" is requested with 300 ms
     Then the failures tell of it with status 503 and 0 attempts, code "store_away"
 
   Scenario: of many failures in a second one line is logged, and all are kept
@@ -21,7 +21,7 @@
 
   Scenario: the figures of a node are to be had as text
     Given 1 node and the replicas "a"
-    When "/once/x" is asked
+    When "/once/x" is requested
     Then its metrics have "http.requests" at 1 and a lease of more than 50 seconds
 
   Scenario: a store says that a sync took long
--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -1,4 +1,4 @@
-"""Steps about whose answer an answer is, and how often work that may not repeat is sent."""
+"""Steps about responses that must match their request, and requests that may be sent only once."""
 
 import asyncio
 import random
@@ -9,9 +9,9 @@
 
 import keyed_model
 from behave import given, then, when
-from gateway import asked, ran
-from gateway_keyed import keyed, runs_of
-from standin import PARTS, event, until
+from gateway import make_request, runs_of_request
+from gateway_keyed import keyed_request, runs_of_key
+from standin import PARTITIONS, sse_event, wait_until
 
 from quillstall.controlplane import shelf, weight
 from quillstall.dataplane.node import Node
@@ -20,157 +20,163 @@
 from quillstall.runtime.clock import SystemClock
 from quillstall.runtime.errors import Fault
 
-LONG = 7_000_000  # bytes: more than the socket buffers take
+LONG_BODY_BYTES = 7_000_000  # more than the socket buffers hold
 REQUESTS = 6
 
 
 @then('the caller has the answer of its own run')
 def own_answer(context):
-    (run,) = ran(context.story, context.ident)
-    got = context.got
-    assert got.body == f'{run.replica} ran {context.ident}'.encode(), got.body
-    assert got.headers['X-Request-Id'] == context.ident, dict(got.headers)
+    (run,) = runs_of_request(context.cluster, context.request_id)
+    response = context.response
+    assert response.body == f'{run.replica} ran {context.request_id}'.encode(), response.body
+    assert response.headers['X-Request-Id'] == context.request_id, dict(response.headers)
 
 
-@then('the caller has the whole answer of its own run')
-def whole_answer(context):
+@then('the caller has the complete answer of its own run')
+def complete_answer(context):
     own_answer(context)
-    assert context.got.headers['Content-Length'] == str(len(context.got.body)), dict(context.got.headers)
+    assert context.response.headers['Content-Length'] == str(len(context.response.body)), dict(
+        context.response.headers
+    )
 
 
-@then('the caller has the whole stream of its own run')
-def whole_stream(context):
-    got = context.got
-    assert got.complete and got.body == b''.join(event(context.ident, n) for n in (1, 2, 3)), got.body
+@then('the caller has the complete stream of its own run')
+def complete_stream(context):
+    response = context.response
+    assert response.complete and response.body == b''.join(
+        sse_event(context.request_id, n) for n in (1, 2, 3)
+    ), response.body
 
 
-@then('the next request of the replica comes on another connection')
+@then('the next request reaches the replica on another connection')
 def another_connection(context):
-    story = context.story
-    story.plan.clear()
-    before = story.connects
-    assert asked(context, '/once/x').status == 200
-    assert story.connects == before + 1, (before, story.connects)
+    cluster = context.cluster
+    cluster.plan.clear()
+    before = cluster.connections
+    assert make_request(context, '/once/x').status == 200
+    assert cluster.connections == before + 1, (before, cluster.connections)
 
 
-@when('"{path}" is asked with a long body')
-def ask_long(context, path):
-    context.long_body = random.Random(7).randbytes(LONG)
-    context.got = asked(context, path, body=context.long_body)
-    context.long_ident = context.ident
+@when('"{path}" is requested with a long body')
+def request_with_long_body(context, path):
+    context.long_body = random.Random(7).randbytes(LONG_BODY_BYTES)
+    context.response = make_request(context, path, body=context.long_body)
+    context.long_body_request_id = context.request_id
 
 
-@when('requests are asked before the replica has read on, and after it')
-def ask_around(context):
-    story = context.story
-    first, context.all = context.got, []
+@when('requests are sent before and after the replica reads the rest of the body')
+def requests_around_late_read(context):
+    cluster = context.cluster
+    first, context.responses = context.response, []
 
-    def ask_some():
+    def send_some():
         for _ in range(REQUESTS):
-            got = asked(context, '/once/y')
-            context.all.append((context.ident, got))
+            response = make_request(context, '/once/y')
+            context.responses.append((context.request_id, response))
 
-    ask_some()
-    story.go.release()
-    story.run(until(lambda: story.read_late))
-    ask_some()
-    context.got = first
+    send_some()
+    cluster.proceed.release()
+    cluster.run(wait_until(lambda: cluster.late_bodies))
+    send_some()
+    context.response = first
 
 
-@then('what the replica read on is the rest of the body or the end of the connection')
-def read_on(context):
-    ((ident, body),) = context.story.read_late
-    assert ident == context.long_ident
+@then('what the replica then reads is the rest of the body or the end of the connection')
+def late_read(context):
+    ((request_id, body),) = context.cluster.late_bodies
+    assert request_id == context.long_body_request_id
     assert body in (None, context.long_body), f'{len(body)} bytes, not those that were sent'
 
 
 # ---- connections that end
 
 
-@when('the kept connections will be reset between the look at them and the write')
-def reset_after_look(context):
-    story, look = context.story, httpclient.quiet
+@when('the idle connections will be reset between the check and the write')
+def reset_after_check(context):
+    cluster, check = context.cluster, httpclient.quiet
     context.resets = 0
 
-    def look_then_reset(stream):
-        if not look(stream):
+    def check_then_reset(stream):
+        if not check(stream):
             return False
-        near = stream.socket.getsockname()
-        for replica in story.replicas.values():
-            for other in list(replica.streams):
-                if not other.closed() and other.socket.getpeername() == near:
-                    other.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
-                    other.close()
+        local_address = stream.socket.getsockname()
+        for replica in cluster.replicas.values():
+            for replica_stream in list(replica.streams):
+                if not replica_stream.closed() and replica_stream.socket.getpeername() == local_address:
+                    replica_stream.socket.setsockopt(
+                        socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0)
+                    )
+                    replica_stream.close()
                     context.resets += 1
         return True
 
-    httpclient.quiet = look_then_reset
-    context.add_cleanup(setattr, httpclient, 'quiet', look)
+    httpclient.quiet = check_then_reset
+    context.add_cleanup(setattr, httpclient, 'quiet', check)
 
 
-@then('a connection was reset in time')
+@then('at least one connection was reset')
 def was_reset(context):
     assert context.resets >= 1, context.resets
 
 
 @then('the request was dropped once and ran nowhere')
 def dropped_once(context):
-    assert [r.ident for r in context.story.dropped] == [context.ident], context.story.dropped
-    assert ran(context.story, context.ident) == []
+    assert [r.request_id for r in context.cluster.dropped] == [context.request_id], context.cluster.dropped
+    assert runs_of_request(context.cluster, context.request_id) == []
 
 
-@given('both replicas have kept connections')
-def warmed(context):
-    story = context.story
-    story.plan.clear()
+@given('idle connections to both replicas are open')
+def open_connections(context):
+    cluster = context.cluster
+    cluster.plan.clear()
 
     async def script():
-        for n in range(1, len(story.nodes) + 1):
+        for n in range(1, len(cluster.nodes) + 1):
             for _ in range(4):
-                await asyncio.gather(*[story.ask('/once/warm', n) for _ in range(4)])
+                await asyncio.gather(*[cluster.request('/once/warm', n) for _ in range(4)])
 
-    story.run(script())
-    assert {r.replica for r in story.runs} == set(story.replicas), 'not every replica was used'
-    story.runs.clear()
+    cluster.run(script())
+    assert {r.replica for r in cluster.runs} == set(cluster.replicas), 'not every replica was used'
+    cluster.runs.clear()
 
 
 @then('its repeats are 409 at first and 502 after half a minute, and it ran at most once')
-def unknown_end(context):
-    story = context.story
-    assert [keyed(story, n, 'k1').status for n in (1, 2)] == [409, 409]
-    story.stores.ahead = timedelta(seconds=31)
-    assert [keyed(story, n, 'k1').status for n in (1, 2)] == [502, 502]
-    assert len(runs_of(story, 'k1')) <= 1
+def unknown_outcome(context):
+    cluster = context.cluster
+    assert [keyed_request(cluster, n, 'k1').status for n in (1, 2)] == [409, 409]
+    cluster.stores.clock_offset = timedelta(seconds=31)
+    assert [keyed_request(cluster, n, 'k1').status for n in (1, 2)] == [502, 502]
+    assert len(runs_of_key(cluster, 'k1')) <= 1
 
 
-# ---- keyed work
+# ---- keyed operations
 
 
-@when('every order of events of {count:d} tries with one key is played')
-def play_all(context, count):
+@when('every order of events of {count:d} attempts with one key is explored')
+def explore_all(context, count):
     context.states = keyed_model.explore(count)
 
 
-@then('no promise was broken, over at least {least:d} states')
-def no_break(context, least):
-    assert context.states >= least, context.states
+@then('no invariant was violated in at least {minimum:d} states')
+def no_violation(context, minimum):
+    assert context.states >= minimum, context.states
 
 
-@then('the store knows that the repeats will not run')
-def repeats_given_up(context):
-    story = context.story
-    record = 'h.example k1'
-    part = part_of(record, len(PARTS))
+@then('the store has recorded that the repeats will not run')
+def repeats_released(context):
+    cluster = context.cluster
+    record_key = 'h.example k1'
+    partition = part_of(record_key, len(PARTITIONS))
 
     def row():
-        return weight.unpack(story.stores.rows[part][f'once/{record}'])
+        return weight.unpack(cluster.stores.rows[partition][f'once/{record_key}'])
 
-    story.run(until(lambda: len(shelf.given_up(row())) == 2))
+    cluster.run(wait_until(lambda: len(shelf.given_up(row())) == 2))
     assert row()['state'] == 'begun' and row()['run'] not in shelf.given_up(row()), row()
 
 
 CAUSES = {
-    'does not return in time': Fault('outcome_unknown', 'no store returned in time'),
+    'does not reply in time': Fault('outcome_unknown', 'no store replied in time'),
     'says that its disk takes no writes': Fault('store_away', 'the disk takes no writes now'),
 }
 
@@ -190,8 +196,8 @@
     )
 
 
-@when('once-work is claimed there')
-def claimed(context):
+@when('a keyed operation is claimed there')
+def claim_operation(context):
     async def script():
         try:
             await Node.claim(context.node, 'k', 'd', 'n1', context.node.ctx.clock.now(), {}, None)
@@ -203,7 +209,7 @@
     context.fault = asyncio.run(script())
 
 
-@then('its caller is told "{code}", and this try is given up in the store')
-def told_unknown(context, code):
+@then('its caller gets "{code}", and the store records that this attempt does not run')
+def reported_unknown(context, code):
     assert context.fault.code == code and context.fault.ran == 'unknown', context.fault
     assert context.given_up == [('once_end', 'n1', True)], context.given_up
--- a/features/steps/gateway_leaving.py
+++ b/features/steps/gateway_leaving.py
@@ -1,232 +1,235 @@
-"""Steps about nodes that leave, and policies that change under way."""
+"""Steps about draining nodes, policy changes during requests, and disconnected callers."""
 
 import asyncio
 from datetime import timedelta
 
 from behave import then, when
-from gateway import AT_ONCE, ran
-from gateway_turns import not_kept, settled
-from standin import EVENT_TOKENS, event, of_ms, send, until
+from gateway import SOON_S, runs_of_request
+from gateway_turns import not_retained, settled
+from standin import EVENT_TOKENS, of_ms, send_request, sse_event, wait_until
 
 from quillstall.dataplane.admission.messages import Arrive, News
 
-# ---- leaving
+# ---- draining
 
 
 @when('the node drains while a stream runs')
-def drains(context):
-    story = context.story
+def drain_with_stream(context):
+    cluster = context.cluster
 
     async def script():
-        ready = await (await send(story.address(1, 'ready'), 'GET', '/', {})).rest()
+        ready = await (await send_request(cluster.address(1, 'ready'), 'GET', '/', {})).read_all()
         assert ready.status == 200, ready.status
-        story.plan.append('paced 2')
-        context.talk = await story.begin('/turn/a', ident='t1', **story.heads())
-        story.go.release()
-        await context.talk.head()
-        await context.talk.piece()
-        context.drained = asyncio.ensure_future(story.nodes[0].drain(of_ms(8000)))
+        cluster.plan.append('paced 2')
+        context.exchange = await cluster.begin_request('/turn/a', request_id='t1', **cluster.turn_headers())
+        cluster.proceed.release()
+        await context.exchange.read_head()
+        await context.exchange.read_chunk()
+        context.drained = asyncio.ensure_future(cluster.nodes[0].drain(of_ms(8000)))
         await asyncio.sleep(0)
-        context.ready = await (await send(story.address(1, 'ready'), 'GET', '/', {})).rest()
+        context.ready = await (await send_request(cluster.address(1, 'ready'), 'GET', '/', {})).read_all()
 
-    story.run(script())
+    cluster.run(script())
 
 
-@then('it is not ready at once')
-def unready(context):
+@then('it reports at once that it is not ready')
+def not_ready(context):
     assert context.ready.status == 503, context.ready.status
 
 
 @then('a new request is served, and its connection closed')
 def still_served(context):
-    got = context.story.run(context.story.ask('/once/x'))
-    assert got.status == 200 and got.headers['Connection'] == 'close', (got.status, dict(got.headers))
-    got = context.story.run(context.story.turn('t2', program='R'))
-    assert (got.status, got.complete, got.headers['Connection']) == (200, True, 'close'), (
-        got.status,
-        dict(got.headers),
+    response = context.cluster.run(context.cluster.request('/once/x'))
+    assert response.status == 200 and response.headers['Connection'] == 'close', (
+        response.status,
+        dict(response.headers),
+    )
+    response = context.cluster.run(context.cluster.run_turn('t2', program='R'))
+    assert (response.status, response.complete, response.headers['Connection']) == (200, True, 'close'), (
+        response.status,
+        dict(response.headers),
     )
 
 
-@then('the stream ends whole, and then the node is drained')
-def ends_whole(context):
-    story = context.story
+@then('the stream is completed, and then the node is drained')
+def stream_completed(context):
+    cluster = context.cluster
 
     async def script():
         assert not context.drained.done()
-        story.go.release()
-        got = await context.talk.rest()
-        assert got.complete and got.body == event('t1', 1) + event('t1', 2), got.body
-        await until(context.drained.done)
+        cluster.proceed.release()
+        response = await context.exchange.read_all()
+        assert response.complete and response.body == sse_event('t1', 1) + sse_event('t1', 2), response.body
+        await wait_until(context.drained.done)
 
-    story.run(script())
+    cluster.run(script())
 
 
 @when('the node stops within {ms:d} ms while "{path}" waits for a silent replica')
-def stops(context, ms, path):
-    story = context.story
+def stop_with_request(context, ms, path):
+    cluster = context.cluster
 
     async def script():
-        story.plan.append('silent')
-        more = story.heads() if path.startswith('/turn/') else {}
-        more |= {'Idempotency_Key': 'k'} if path.startswith('/keyed/') else {}
-        talk = await story.begin(path, ident='s1', **more)
-        await until(lambda: ran(story, 's1'))
-        drained = asyncio.ensure_future(story.nodes[0].drain(of_ms(ms)))
-        context.got = await talk.rest()
+        cluster.plan.append('silent')
+        headers = cluster.turn_headers() if path.startswith('/turn/') else {}
+        headers |= {'Idempotency_Key': 'k'} if path.startswith('/keyed/') else {}
+        exchange = await cluster.begin_request(path, request_id='s1', **headers)
+        await wait_until(lambda: runs_of_request(cluster, 's1'))
+        drained = asyncio.ensure_future(cluster.nodes[0].drain(of_ms(ms)))
+        context.response = await exchange.read_all()
         context.stopped_before = drained.done()
         await drained
 
-    story.run(script())
+    cluster.run(script())
 
 
 @when(
-    '"{path}" comes {after:d} ms after a node with a silent request under way was told to stop within {ms:d} ms'
+    '"{path}" is requested {after:d} ms after a node with an unanswered request was told to stop within {ms:d} ms'
 )
-def comes_late(context, path, after, ms):
-    story = context.story
+def request_during_stop(context, path, after, ms):
+    cluster = context.cluster
 
     async def script():
-        story.plan.extend(['silent', 'silent'])
-        first = await story.begin('/once/y', ident='s1')
-        await until(lambda: ran(story, 's1'))
-        drained = asyncio.ensure_future(story.nodes[0].drain(of_ms(ms)))
+        cluster.plan.extend(['silent', 'silent'])
+        first = await cluster.begin_request('/once/y', request_id='s1')
+        await wait_until(lambda: runs_of_request(cluster, 's1'))
+        drained = asyncio.ensure_future(cluster.nodes[0].drain(of_ms(ms)))
         await asyncio.sleep(after / 1000)
-        context.got = await story.ask(path, ident='s2')
+        context.response = await cluster.request(path, request_id='s2')
         context.stopped_before = drained.done()
-        assert (await first.rest()).status == 504
+        assert (await first.read_all()).status == 504
         await drained
 
-    story.run(script())
+    cluster.run(script())
 
 
-@then('the request has a whole answer of status {status:d} before the node has stopped')
+@then('the request has a complete answer of status {status:d} before the node has stopped')
 def answered_before_stop(context, status):
-    got = context.got
-    assert (got.status, got.complete) == (status, True), (got.status, got.complete)
+    response = context.response
+    assert (response.status, response.complete) == (status, True), (response.status, response.complete)
     assert not context.stopped_before
 
 
 def without_class(policy):
-    """A policy with another class in the place of "c"."""
-    other = {'d': policy['classes']['c']}
+    """Return the policy with another class instead of "c"."""
+    classes = {'d': policy['classes']['c']}
     routes = {name: {**route, 'class': 'd'} for name, route in policy['http_routes'].items()}
-    return {**policy, 'classes': other, 'http_routes': routes}
+    return {**policy, 'classes': classes, 'http_routes': routes}
 
 
-@when('a policy without the class of its routes comes while its request waits at a replica')
-def class_goes_meanwhile(context):
-    story = context.story
+@when('a policy without the class of its routes is applied while its request waits at a replica')
+def class_removed_while_sent(context):
+    cluster = context.cluster
 
     async def script():
-        story.plan.extend(['hold', 'answer'])
-        talk = await story.begin('/any/x', ident='c1')
-        await until(lambda: ran(story, 'c1'))
-        await story.change(story.nodes[0], without_class(story.policy))
-        for stream in list(story.replicas[ran(story, 'c1')[0].replica].streams):
+        cluster.plan.extend(['hold', 'answer'])
+        exchange = await cluster.begin_request('/any/x', request_id='c1')
+        await wait_until(lambda: runs_of_request(cluster, 'c1'))
+        await cluster.change_policy(cluster.nodes[0], without_class(cluster.policy))
+        for stream in list(cluster.replicas[runs_of_request(cluster, 'c1')[0].replica].streams):
             stream.close()
-        context.got = await talk.rest()
+        context.response = await exchange.read_all()
 
-    story.run(script())
+    cluster.run(script())
 
 
-@when('a policy without the class of its routes comes as its request arrives')
-def class_goes_at_once(context):
-    story = context.story
+@when('a policy without the class of its routes is applied as its request arrives')
+def class_removed_on_arrival(context):
+    cluster = context.cluster
 
     async def script():
-        node = story.nodes[0]
-        held = asyncio.Event()
-        news = News(
+        node = cluster.nodes[0]
+        sent = asyncio.Event()
+        update = News(
             {
                 'generation': 2,
                 'epoch': 1,
-                'policy': without_class(story.policy),
+                'policy': without_class(cluster.policy),
                 'leaving': [],
                 'live': 1,
                 'allot': {},
             },
-            story.clock.now() + timedelta(seconds=100),
+            cluster.clock.now() + timedelta(seconds=100),
         )
-        arrive = node.tell
+        forward = node.tell
 
         def tell(event):
-            """The news stands in the queue before the task that was made under the older policy."""
-            if type(event) is Arrive and not held.is_set():
-                held.set()
-                arrive(news)
-            arrive(event)
+            """Queue the core update before the task, which was created under the older policy."""
+            if type(event) is Arrive and not sent.is_set():
+                sent.set()
+                forward(update)
+            forward(event)
 
         node.tell = tell
-        context.got = await story.ask('/any/x', ident='c1')
+        context.response = await cluster.request('/any/x', request_id='c1')
 
-    story.run(script())
+    cluster.run(script())
 
 
-@when('a policy without the class of its routes comes while its key is claimed')
-def class_goes_during_claim(context):
-    story = context.story
+@when('a policy without the class of its routes is applied while its key is claimed')
+def class_removed_during_claim(context):
+    cluster = context.cluster
 
     async def script():
-        ask, node = story.stores.ask, story.nodes[0]
+        call, node = cluster.stores.ask, cluster.nodes[0]
 
-        async def ask_and_change(address, message, limit):
-            ret = await ask(address, message, limit)
+        async def call_and_change(address, message, limit):
+            reply = await call(address, message, limit)
             if node.state.generation == 1:
-                await story.change(node, without_class(story.policy))
-            return ret
+                await cluster.change_policy(node, without_class(cluster.policy))
+            return reply
 
-        story.stores.ask = ask_and_change
-        context.got = await story.ask('/keyed/x', ident='c1', Idempotency_Key='k')
+        cluster.stores.ask = call_and_change
+        context.response = await cluster.request('/keyed/x', request_id='c1', Idempotency_Key='k')
 
-    story.run(script())
+    cluster.run(script())
 
 
 @then('the request has an answer, and the node serves the next one')
-def serves_on(context):
-    assert context.got.complete, (context.got.status, context.got.complete)
-    assert context.got.status in (200, 502, 503), context.got.status
-    got = context.story.run(context.story.ask('/any/y'))
-    assert got.status == 200, got.status
+def node_still_serves(context):
+    assert context.response.complete, (context.response.status, context.response.complete)
+    assert context.response.status in (200, 502, 503), context.response.status
+    response = context.cluster.run(context.cluster.request('/any/y'))
+    assert response.status == 200, response.status
 
 
-@when('a caller leaves in the middle of a stream')
-def leaves(context):
-    story = context.story
+@when('a caller disconnects in the middle of a stream')
+def disconnects_midstream(context):
+    cluster = context.cluster
 
     async def script():
-        story.plan.append('paced 9')
-        talk = await story.begin('/turn/a', ident='t1', **story.heads())
-        story.go.release()
-        await talk.head()
-        await talk.piece()
-        talk.close()
+        cluster.plan.append('paced 9')
+        exchange = await cluster.begin_request('/turn/a', request_id='t1', **cluster.turn_headers())
+        cluster.proceed.release()
+        await exchange.read_head()
+        await exchange.read_chunk()
+        exchange.close()
 
-    story.run(script())
+    cluster.run(script())
 
 
-@when('a caller leaves before the first event')
-def leaves_early(context):
-    story = context.story
+@when('a caller disconnects before the first event')
+def disconnects_early(context):
+    cluster = context.cluster
 
     async def script():
-        story.plan.append('paced 9')
-        talk = await story.begin('/turn/a', ident='t1', **story.heads())
-        await until(lambda: story.runs)
-        talk.close()
+        cluster.plan.append('paced 9')
+        exchange = await cluster.begin_request('/turn/a', request_id='t1', **cluster.turn_headers())
+        await wait_until(lambda: cluster.runs)
+        exchange.close()
 
-    story.run(script())
+    cluster.run(script())
 
 
-@then("the replica's stream is cut, and the turn is not kept")
-def cut_there(context):
-    story = context.story
-    story.run(until(lambda: story.runs[0].cut, AT_ONCE))
-    assert settled(story) == EVENT_TOKENS
-    context.ident = 't1'
-    not_kept(context)
+@then("the replica's stream is cut, and the turn is not retained")
+def cut_and_not_retained(context):
+    cluster = context.cluster
+    cluster.run(wait_until(lambda: cluster.runs[0].cut, SOON_S))
+    assert settled(cluster) == EVENT_TOKENS
+    context.request_id = 't1'
+    not_retained(context)
 
 
-@then('the replica has turned it away')
-def turned(context):
-    assert context.story.turned, 'it was not asked'
+@then('the replica has rejected it')
+def rejected_it(context):
+    assert context.cluster.rejected, 'the replica got no request'
--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -4,7 +4,7 @@
 
 from behave import then, when
 from immutables import Map
-from standin import event, until
+from standin import sse_event, wait_until
 
 from quillstall.controlplane import core, core_state, placement
 from quillstall.dataplane.admission import reducer
@@ -39,7 +39,7 @@
         raise KeyError('gone')
 
     break_step(context, Arrive, fail)
-    context.got = context.story.run(context.story.ask('/any/x'))
+    context.response = context.cluster.run(context.cluster.request('/any/x'))
 
 
 @when('the admission table goes back to an older generation')
@@ -50,8 +50,8 @@
         return state._replace(generation=state.generation - 1), ()
 
     break_step(context, Tick, back)
-    story = context.story
-    story.run(until(lambda: context.violations))
+    cluster = context.cluster
+    cluster.run(wait_until(lambda: context.violations))
 
 
 @when('the admission table gives a slot back twice')
@@ -64,10 +64,10 @@
         return again._replace(used=again.used.set(run.replica, -1)), ()
 
     break_step(context, Leave, twice)
-    story = context.story
-    story.run(story.ask('/any/x'))
-    story.run(until(lambda: context.violations))
-    node = story.nodes[0]
+    cluster = context.cluster
+    cluster.run(cluster.request('/any/x'))
+    cluster.run(wait_until(lambda: context.violations))
+    node = cluster.nodes[0]
     node.state = node.state._replace(used=Map())
 
 
@@ -86,7 +86,7 @@
 @when('the gateway takes its route for one that may be repeated, and the first answer is lost')
 def sent_again(context):
     context.meant_violations = ('sent_once',)
-    story, gateway = context.story, context.story.nodes[0].gateway
+    cluster, gateway = context.cluster, context.cluster.nodes[0].gateway
     route = gateway.match_route
 
     def mistaken(request):
@@ -94,15 +94,15 @@
         return name, MistakenRoute(row, attempts=2)
 
     gateway.match_route = mistaken
-    story.plan.extend(['close', 'answer'])
-    story.run(story.ask('/once/x'))
+    cluster.plan.extend(['close', 'answer'])
+    cluster.run(cluster.request('/once/x'))
     gateway.match_route = route
 
 
 @when('the gateway tells "shed" of a request that may have run')
 def refusal_after_run(context):
     context.meant_violations = ('refused_after_send',)
-    story, gateway = context.story, context.story.nodes[0].gateway
+    cluster, gateway = context.cluster, context.cluster.nodes[0].gateway
     plain = gateway.serve_plain
 
     async def refusing(name, route, request, start, deadline, out):
@@ -110,54 +110,60 @@
         raise Fault('shed', 'a test')
 
     gateway.serve_plain = refusing
-    story.run(story.ask('/once/x'))
+    cluster.run(cluster.request('/once/x'))
     gateway.serve_plain = plain
 
 
 @when('the gateway takes every answer for its own, and a replica sends an old one')
 def foreign_answer(context):
     context.meant_violations = ('answer_owner',)
-    story, gateway = context.story, context.story.nodes[0].gateway
+    cluster, gateway = context.cluster, context.cluster.nodes[0].gateway
     matches = gateway.response_matcher
     gateway.response_matcher = lambda request: lambda status, headers: True
-    story.plan.append('late')
-    story.run(story.ask('/any/x'))
+    cluster.plan.append('late')
+    cluster.run(cluster.request('/any/x'))
     gateway.response_matcher = matches
 
 
 @when('a replica sends one event of a stream twice')
 def event_twice(context):
     context.meant_violations = ('event_order',)
-    story = context.story
-    replica = story.replicas['a']
-    stream = replica.stream
+    cluster = context.cluster
+    replica = cluster.replicas['a']
+    stream = replica.write_stream
 
     async def doubled(writer, run, act, count):
-        heads = {**replica.heads(run), 'Content-Type': 'text/event-stream', 'Transfer-Encoding': 'chunked'}
+        heads = {
+            **replica.response_headers(run),
+            'Content-Type': 'text/event-stream',
+            'Transfer-Encoding': 'chunked',
+        }
         await writer.write(
             ('HTTP/1.1 200 Said\r\n' + ''.join(f'{n}: {v}\r\n' for n, v in heads.items()) + '\r\n').encode()
         )
         for number in (1, 1, 2):
-            data = event(run.ident, number)
+            data = sse_event(run.request_id, number)
             await writer.write(b'%x\r\n%s\r\n' % (len(data), data))
-            await until(lambda: story.talks[run.ident].body or writer.closed())
+            await wait_until(lambda: cluster.exchanges[run.request_id].body or writer.closed())
         await writer.write(b'0\r\n\r\n')
 
-    replica.stream = doubled
-    context.got = story.run(story.turn('t1'))
-    replica.stream = stream
+    replica.write_stream = doubled
+    context.response = cluster.run(cluster.run_turn('t1'))
+    replica.write_stream = stream
 
 
 @then('the stream is cut after the first, "{name}" was violated once, and the node serves the next one')
 def stream_cut(context, name):
-    assert not context.got.complete and context.got.body == event('t1', 1), context.got.body
+    assert not context.response.complete and context.response.body == sse_event('t1', 1), (
+        context.response.body
+    )
     violated_once(context, name)
 
 
 @when('the function of a request {how}')
 def no_end(context, how):
     context.meant_violations = ('request_ended',)
-    story, gateway = context.story, context.story.nodes[0].gateway
+    cluster, gateway = context.cluster, context.cluster.nodes[0].gateway
     handler = gateway.listener.handler
 
     async def odd(call, out):
@@ -165,28 +171,28 @@
             raise LookupError('a test')
 
     gateway.listener.handler = odd
-    context.got = story.run(story.ask('/any/x'))
+    context.response = cluster.run(cluster.request('/any/x'))
     gateway.listener.handler = handler
 
 
 @then('the connection is cut, "{name}" was violated once, and the node serves the next one')
 def connection_cut(context, name):
-    assert not context.got.complete and context.got.status == 0, context.got.status
+    assert not context.response.complete and context.response.status == 0, context.response.status
     violated_once(context, name)
 
 
 @then('the caller is told {status:d}, "{name}" was violated once, and the node serves the next one')
 def told_and_violated(context, status, name):
-    assert context.got.status == status, context.got.status
+    assert context.response.status == status, context.response.status
     violated_once(context, name)
 
 
 @then('"{name}" was violated once, and the node serves the next one')
 def violated_once(context, name):
     assert [v[1] for v in context.violations].count(name) == 1, context.violations
-    counts = context.story.nodes[0].ctx.journal.counts
+    counts = context.cluster.nodes[0].ctx.journal.counts
     assert counts[f'invariant_violated.{name}'] == 1, counts
-    got = context.story.run(context.story.ask('/any/y'))
+    got = context.cluster.run(context.cluster.request('/any/y'))
     assert got.status == 200, got.status
 
 
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -8,7 +8,7 @@
 
 from behave import given, then, when
 from common import held_port
-from standin import until
+from standin import wait_until
 
 from quillstall.controlplane import store
 from quillstall.network.net import MAGIC, TcpNet, pack, unpack
@@ -93,13 +93,13 @@
     async def script():
         other = context.other
         keep = ask(context, 'keep')  # something comes back on the link, so that it counts as alive
-        await until(lambda: len(other.asked) == 1)
+        await wait_until(lambda: len(other.asked) == 1)
         first = ask(context, 'first', GIVE_UP)
-        await until(lambda: len(other.asked) == 2)
+        await wait_until(lambda: len(other.asked) == 2)
         await other.send(0)
         context.first = await first
         second = ask(context, 'second')
-        await until(lambda: len(other.asked) == 3)
+        await wait_until(lambda: len(other.asked) == 3)
         await other.send(1)
         await other.send(2)
         context.second, context.kept = await second, await keep
@@ -118,7 +118,7 @@
     async def script():
         names = [f'n{n}' for n in range(count)]
         asks = [ask(context, name) for name in names]
-        await until(lambda: len(context.other.asked) == count)
+        await wait_until(lambda: len(context.other.asked) == count)
         for at in reversed(range(count)):
             await context.other.send(at)
         context.all = list(zip(names, await asyncio.gather(*asks), strict=True))
@@ -136,12 +136,12 @@
     async def script():
         other = context.other
         first = ask(context, 'first')
-        await until(lambda: len(other.asked) == 1)
+        await wait_until(lambda: len(other.asked) == 1)
         old = context.net.links[other.address]
         old.connection.close()
         context.first = await first
         second = ask(context, 'second')
-        await until(lambda: len(other.asked) == 2)
+        await wait_until(lambda: len(other.asked) == 2)
         assert other.asked[0][1] == other.asked[1][1], 'the numbers differ'
         try:
             await other.send(0)
@@ -164,7 +164,7 @@
         one, two = context.other, HoldingProcess()
         await two.start()
         first, second = ask(context, 'first'), ask(context, 'second', process=two)
-        await until(lambda: one.asked and two.asked)
+        await wait_until(lambda: one.asked and two.asked)
         assert one.asked[0][1] == two.asked[0][1], 'the numbers differ'
         await two.send(0)
         got = await second
@@ -179,13 +179,13 @@
     async def script():
         other = context.other
         first = ask(context, 'first')
-        await until(lambda: len(other.asked) == 1)
+        await wait_until(lambda: len(other.asked) == 1)
         await other.send(0, number=other.asked[0][1] + 1, text='of the future')
         await other.send(0)
         await other.send(0)
         got = [('first', await first)]
         second = ask(context, 'second')
-        await until(lambda: len(other.asked) == 2)
+        await wait_until(lambda: len(other.asked) == 2)
         await other.send(0)
         await other.send(1)
         got.append(('second', await second))
@@ -217,7 +217,7 @@
         await writer.drain()
         writer.close()
         await context.net.ask(context.address, {'name': 'whole'}, PATIENT)
-        await until(lambda: len(context.net.listener.connections) == 1)
+        await wait_until(lambda: len(context.net.listener.connections) == 1)
 
     run(context, script())
 
--- a/features/steps/stalls.py
+++ b/features/steps/stalls.py
@@ -5,9 +5,9 @@
 from types import SimpleNamespace
 
 from behave import given, then, when
-from gateway import asked
+from gateway import make_request
 from immutables import Map
-from standin import until
+from standin import wait_until
 
 from quillstall.controlplane import pooled_failures
 from quillstall.controlplane.core_state import Node as RoutingNode
@@ -30,24 +30,24 @@
 def learnt(context):
     for path in ('/line/x', '/turn/x'):
         for _ in range(LEARNT_TURNS):
-            assert asked(context, path).status == 200
-    context.story.runs.clear()
+            assert make_request(context, path).status == 200
+    context.cluster.runs.clear()
 
 
 @given('"{mechanism}" is switched off')
 def switched_off(context, mechanism):
-    story = context.story
-    policy = {**story.policy, 'mechanisms': {mechanism: False}}
-    story.run(story.change(story.nodes[0], policy))
+    cluster = context.cluster
+    policy = {**cluster.policy, 'mechanisms': {mechanism: False}}
+    cluster.run(cluster.change_policy(cluster.nodes[0], policy))
 
 
 @when('"{path}" is asked while the first replica stays silent')
 def first_silent(context, path):
-    story = context.story
-    story.plan.append('silent')
-    start = story.clock.now()
-    context.got = asked(context, path)
-    context.took = story.clock.now() - start
+    cluster = context.cluster
+    cluster.plan.append('silent')
+    start = cluster.clock.now()
+    context.response = make_request(context, path)
+    context.took = cluster.clock.now() - start
 
 
 @when('"{path}" is asked with {span:d} ms while its replica stays silent')
@@ -57,34 +57,34 @@
 
 @when('"{path}" is asked {count:d} times at once with {span:d} ms while all replicas stay silent')
 def all_silent(context, path, count, span):
-    story = context.story
-    story.plan.extend(['silent'] * count)
-    context.ident = 'silent-1'
+    cluster = context.cluster
+    cluster.plan.extend(['silent'] * count)
+    context.request_id = 'silent-1'
 
     async def begin():
         for n in range(count):
-            talk = await story.begin(
+            talk = await cluster.begin_request(
                 path,
-                ident=f'silent-{n + 1}',
+                request_id=f'silent-{n + 1}',
                 **(
-                    {**story.heads(program=f'P{n}'), 'X_Deadline_Ms': span}
+                    {**cluster.turn_headers(program=f'P{n}'), 'X_Deadline_Ms': span}
                     if path.startswith('/turn/')
                     else {}
                 ),
             )
-            context.talks.append(asyncio.ensure_future(talk.rest()))
+            context.talks.append(asyncio.ensure_future(talk.read_all()))
 
     context.talks = []
-    story.run(begin())
+    cluster.run(begin())
 
 
 def down(context):
-    return sorted(context.story.nodes[0].state.down)
+    return sorted(context.cluster.nodes[0].state.down)
 
 
 @then('the answer is whole within {span:d} ms')
 def whole_within(context, span):
-    assert context.got.status == 200 and context.got.complete, context.got.status
+    assert context.response.status == 200 and context.response.complete, context.response.status
     assert context.took <= of_ms(span), context.took
 
 
@@ -95,15 +95,15 @@
 
 @then('one replica is set aside within {span:d} ms')
 def aside_within(context, span):
-    context.story.run(until(lambda: down(context), span / 1000))
-    context.story.run(asyncio.sleep(0.3))
+    context.cluster.run(wait_until(lambda: down(context), span / 1000))
+    context.cluster.run(asyncio.sleep(0.3))
     assert len(down(context)) == 1, down(context)
     finish(context)
 
 
 @then('no replica is set aside within {span:d} ms')
 def none_aside(context, span):
-    context.story.run(asyncio.sleep(span / 1000))
+    context.cluster.run(asyncio.sleep(span / 1000))
     assert not down(context), down(context)
     finish(context)
 
@@ -112,7 +112,7 @@
     async def ends():
         return await asyncio.gather(*context.talks)
 
-    context.got = context.story.run(ends())[0]
+    context.response = context.cluster.run(ends())[0]
 
 
 # ---- the watch alone
--- a/features/wire.feature
+++ b/features/wire.feature
@@ -1,10 +1,10 @@
-Feature: What replicas are handed, where a rule of the wire has its own trouble
+Feature: What replicas receive: deadlines, and bytes on reused connections
 
-  Scenario Outline: no replica is handed more time than its caller has left: <path> after "<acts>"
+  Scenario Outline: no replica gets more time than its caller has left: <path> after "<acts>"
     Given 1 node and the replicas "a b c"
     And the replicas will in turn "<acts>"
-    When "<path>" is asked with 3000 ms, and each replica notes its time
-    Then <runs> replicas were asked, and each was handed no more than was left
+    When "<path>" is requested with 3000 ms, and each replica records its deadline
+    Then <runs> replicas got the request, and none got more time than was left
 
     Examples:
       | path    | acts                    | runs |
@@ -15,10 +15,10 @@
       | /line/x | break 2, stream 5       | 2    |
       | /line/x | full, break 2, stream 5 | 3    |
 
-  Scenario Outline: a replica that answers before it has read a body of <size> bytes gets the rest of it, and nothing in its place
-    Given a replica that answers <when> and reads on later
+  Scenario Outline: a replica that answers before it has read a body of <size> bytes gets the rest of it, and no other bytes instead
+    Given a replica that answers <when> and reads the rest later
     When a body of <size> bytes is sent to it, and then another request
-    Then each of its connections has carried whole requests, one after the other, or ended inside one
+    Then each of its connections has carried complete requests, one after the other, or ended inside one
 
     Examples:
       | when                      | size     |
