--- a/src/quillstall/dataplane/gateway.py
+++ b/src/quillstall/dataplane/gateway.py
@@ -35,7 +35,7 @@
 PRIOR_FRACTION = 0.25  # of the time left: the service time that is assumed before one is known
 MIN_PATIENCE = of_ms(60)  # the shortest wait for a response before another replica is tried
 PATIENCE_FACTOR = 4  # times the expected service time: the wait before another replica is tried
-IDLE_FRACTION_REPEATABLE = 0.8  # of the idle timeout: an idle connection older than this is not reused
+IDLE_FRACTION_REPEATABLE = 0.8  # of the idle timeout: a connection that was idle for longer is not reused
 IDLE_FRACTION_STREAM = 0.5
 IDLE_FRACTION_ONCE = 0.4
 STORE_WAIT_FRACTION = 0.45  # of the request's time: the longest wait for the store before a turn is sent
@@ -140,7 +140,7 @@
     # ---- any request
 
     def match_route(self, request: Request) -> tuple[str, dict]:
-        """Return name and row of the host's route with the longest matching prefix. Raises Fault 'no_route'."""
+        """Return the host's route with the longest matching prefix. Raises Fault 'no_route'."""
         state = self.node.state
         if self.routes_generation != state.generation:
             self.routes_generation = state.generation
@@ -160,7 +160,7 @@
             of_ms(limits.get('idle_ms', 60_000) + 2000),
         )
 
-    def choose_pool(self, name: str, request: Request, route: dict) -> str:
+    def choose_pool(self, route_name: str, request: Request, route: dict) -> str:
         """Return the pool of a request, chosen by the route's weights.
 
         Requests with the same idempotency key, or of the same session on a route with affinity, go to
@@ -172,7 +172,9 @@
         known = [(p, w) for p, w in rows if admission_state.replicas_of(self.node.state, p)]
         rows = known or rows
         affinity_key = request.idempotency_key or (request.session if route.get('affinity', True) else None)
-        position = crc32(affinity_key.encode()) / 2**32 if affinity_key else self.next_split_position(name)
+        position = (
+            crc32(affinity_key.encode()) / 2**32 if affinity_key else self.next_split_position(route_name)
+        )
         remaining = position * sum(w for _, w in rows)
         for pool, weight in rows:
             remaining -= weight
@@ -180,15 +182,15 @@
                 return pool
         return rows[-1][0]
 
-    def next_split_position(self, name: str) -> float:
+    def next_split_position(self, route_name: str) -> float:
         """Return the next position of a route's low-discrepancy sequence in the range from 0 to 1.
 
         The sequences of different nodes start at different positions.
         """
-        position = self.split_positions.get(name)
+        position = self.split_positions.get(route_name)
         if position is None:
-            position = crc32(f'{self.node.name} {name}'.encode()) / 2**32
-        self.split_positions[name] = (position + GOLDEN_RATIO_FRACTION) % 1.0
+            position = crc32(f'{self.node.name} {route_name}'.encode()) / 2**32
+        self.split_positions[route_name] = (position + GOLDEN_RATIO_FRACTION) % 1.0
         return position
 
     async def serve(self, call: Inbound, response: Any) -> None:
@@ -200,7 +202,7 @@
             if not state.policy.get('http_routes') or not admission_state.leased(state, start):
                 raise Fault('no_lease', 'this node has no policy or no lease', wait_ms=500)
             request = dialect.parse_request(self.dialect, call)
-            name, route = self.match_route(request)
+            route_name, route = self.match_route(request)
             timeout = of_ms(route['timeout_ms'])
             if request.deadline_ms is not None:
                 timeout = min(timeout, of_ms(request.deadline_ms))
@@ -208,9 +210,9 @@
             if self.final_response_at is not None:
                 deadline = min(deadline, self.final_response_at)
             if route.get('stream'):
-                await self.serve_stream(name, route, request, start, deadline, response)
+                await self.serve_stream(route_name, route, request, start, deadline, response)
             else:
-                await self.serve_plain(name, route, request, start, deadline, response)
+                await self.serve_plain(route_name, route, request, start, deadline, response)
         except StreamClosedError:
             self.ctx.journal.count('http.gone')
         except Fault as e:
@@ -220,7 +222,7 @@
                 self.failures.keep(request_id, call.path, e, status, start, response.trail)
 
     async def respond_with_fault(self, response: Any, fault: Fault, path: str) -> int:
-        """Answer with a fault and return its status; cut the connection and return 0 if the response has begun."""
+        """Answer with a fault and return its status, or cut a response that has begun and return 0."""
         self.ctx.journal.count(f'told.{fault.code}')
         if fault.code == 'gone' or response.headed:
             response.cut()
@@ -248,7 +250,7 @@
 
     def admission_task(
         self,
-        name: str,
+        run_id: str,
         route_name: str,
         route: dict,
         request: Request,
@@ -267,7 +269,7 @@
                 list(admission_state.replicas_of(state, pool)), request.session or '', request.prompt_parts
             )
         return Task(
-            name,
+            run_id,
             route_name,
             class_name,
             pool,
@@ -456,13 +458,13 @@
         return True
 
     def stall_watch(
-        self, name: str, task: Task, replica: str, deadline: datetime, can_move: bool
+        self, route_name: str, task: Task, replica: str, deadline: datetime, can_move: bool
     ) -> StallWatch:
         """Return the stall detector of one stream; `can_move` tells whether it may be resumed elsewhere."""
         enabled = admission_state.uses(self.node.state, 'silence')
         return StallWatch(
             self.ctx.clock,
-            stall_limit(self.silences.get(name)) if enabled else None,
+            stall_limit(self.silences.get(route_name)) if enabled else None,
             deadline,
             can_move and bool(self.other_replicas(task, replica)),
             lambda: self.report_stall(replica),
@@ -480,13 +482,19 @@
     # ---- plain requests
 
     async def serve_plain(
-        self, name: str, route: dict, request: Request, start: datetime, deadline: datetime, response: Any
+        self,
+        route_name: str,
+        route: dict,
+        request: Request,
+        start: datetime,
+        deadline: datetime,
+        response: Any,
     ) -> None:
         """Serve one plain request: claim its key, send it, retry it where the route allows, and respond."""
         clock, node = self.ctx.clock, self.node
         run_id = node.fresh()
         task = self.admission_task(
-            run_id, name, route, request, self.choose_pool(name, request, route), start, deadline
+            run_id, route_name, route, request, self.choose_pool(route_name, request, route), start, deadline
         )
         record_key = (
             f'{request.host} {request.idempotency_key}'
@@ -499,7 +507,7 @@
                 await response.whole(*stored)
                 return
         repeatable = route['repeat'] == 'any'
-        max_attempts = route.get('attempts') or (2 if repeatable else 1)
+        attempt_limit = route.get('attempts') or (2 if repeatable else 1)
         may_have_run = done = False
         sends, sent_at, final_response = 0, clock.now(), None
         duration = None
@@ -514,8 +522,8 @@
                 sends += 1
                 exchange = None
                 if may_have_run and route['repeat'] != 'any':
-                    self.ctx.journal.violated('sent_once', request=request.request_id, route=name)
-                can_retry = repeatable and sends < max_attempts
+                    self.ctx.journal.violated('sent_once', request=request.request_id, route=route_name)
+                can_retry = repeatable and sends < attempt_limit
                 wait_for_replica = not (can_retry and self.other_replicas(task, replica))
                 attempt_end = deadline if wait_for_replica else self.attempt_deadline(task, deadline)
                 try:
@@ -640,13 +648,19 @@
         )
 
     async def serve_stream(
-        self, name: str, route: dict, request: Request, start: datetime, deadline: datetime, response: Any
+        self,
+        route_name: str,
+        route: dict,
+        request: Request,
+        start: datetime,
+        deadline: datetime,
+        response: Any,
     ) -> None:
         """Serve one turn: reserve its tokens, forward its events, resume it where allowed, and retain it."""
         clock, node = self.ctx.clock, self.node
         run_id = node.fresh()
-        pool = self.choose_pool(name, request, route)
-        task = self.admission_task(run_id, name, route, request, pool, start, deadline)
+        pool = self.choose_pool(route_name, request, route)
+        task = self.admission_task(run_id, route_name, route, request, pool, start, deadline)
         if (route.get('keep') or request.token_budget is not None) and not request.request_id:
             raise Fault(
                 'bad_header',
@@ -659,9 +673,9 @@
             )
         in_store = request.token_budget is not None or bool(route.get('keep'))
         event_tokens = node.state.policy['pools'][pool].get('event_tokens', 1)
-        retain, resumable = bool(route.get('keep')) and in_store, bool(route.get('resume'))
-        max_idle_fraction = IDLE_FRACTION_REPEATABLE if resumable else IDLE_FRACTION_STREAM
-        max_attempts = route.get('attempts') or 1
+        retain, can_resume = bool(route.get('keep')) and in_store, bool(route.get('resume'))
+        max_idle_fraction = IDLE_FRACTION_REPEATABLE if can_resume else IDLE_FRACTION_STREAM
+        attempt_limit = route.get('attempts') or 1
         conversation, other_program, reserved, may_have_run, headers_sent, settled = (
             b'',
             False,
@@ -685,8 +699,10 @@
                 sends += 1
                 exchange = None
                 if may_have_run and route['repeat'] != 'any':
-                    self.ctx.journal.violated('sent_once', request=request.request_id, route=name)
-                watch = self.stall_watch(name, task, replica, deadline, resumable and runs + 1 < max_attempts)
+                    self.ctx.journal.violated('sent_once', request=request.request_id, route=route_name)
+                watch = self.stall_watch(
+                    route_name, task, replica, deadline, can_resume and runs + 1 < attempt_limit
+                )
                 try:
                     exchange = await self.send(
                         task,
@@ -738,15 +754,15 @@
                     if parser.left.strip():
                         raise Fault('lost', 'the stream ended in the middle of an event')
                     self.report_health(replica, None)
-                    self.silences[name] = usual_silence(self.silences.get(name), watch.longest)
+                    self.silences[route_name] = usual_silence(self.silences.get(route_name), watch.longest)
                     break
                 except Fault as e:
                     if self.record_failed_attempt(replica, exchange, e, start, response):
                         may_have_run = True
                         runs += 1
-                        if not resumable or clock.now() >= deadline:
+                        if not can_resume or clock.now() >= deadline:
                             raise
-                        if runs >= max_attempts and not (
+                        if runs >= attempt_limit and not (
                             e.code == 'lost' and await self.refuses_connections(task, replica)
                         ):
                             raise
