--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -186,7 +186,10 @@
         context.given_up.append((command['op'], command['run'], command['void']))
 
     context.node = SimpleNamespace(
-        ctx=SimpleNamespace(clock=SystemClock()), shelf=shelf, settle=settle, spawn=asyncio.ensure_future
+        ctx=SimpleNamespace(clock=SystemClock()),
+        call_store=shelf,
+        call_store_in_background=settle,
+        spawn=asyncio.ensure_future,
     )
 
 
--- a/features/steps/gateway_leaving.py
+++ b/features/steps/gateway_leaving.py
@@ -148,7 +148,7 @@
             },
             story.clock.now() + timedelta(seconds=100),
         )
-        arrive = node.tell
+        arrive = node.post_event
 
         def tell(event):
             """The news stands in the queue before the task that was made under the older policy."""
@@ -157,7 +157,7 @@
                 arrive(news)
             arrive(event)
 
-        node.tell = tell
+        node.post_event = tell
         context.got = await story.ask('/any/x', ident='c1')
 
     story.run(script())
--- a/features/steps/gateway_rules.py
+++ b/features/steps/gateway_rules.py
@@ -88,9 +88,9 @@
 
     async def script():
         talk = await story.begin(path, ident='left', **heads_of(story, path))
-        await until(lambda: node.words)
+        await until(lambda: node.pending_decisions)
         talk.close()
-        await until(lambda: not node.words)
+        await until(lambda: not node.pending_decisions)
         for _ in context.held:
             story.go.release()
         for held in context.held:
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -483,7 +483,8 @@
             await town.sleep(0.2)
             nodes = [town.hosts.get(name) for name in town.named('route')]
             if all(
-                node and node.seats and admission_state.leased(node.state, town.clock.now()) for node in nodes
+                node and node.replica_sets and admission_state.leased(node.state, town.clock.now())
+                for node in nodes
             ):
                 serving = (town.clock.now() - began).total_seconds()
         known, _ = await claim(town, part, 'second', 30)
--- a/features/steps/standin.py
+++ b/features/steps/standin.py
@@ -408,7 +408,7 @@
         node = Node(Ctx(startup, self.clock, self.stores, None, None, journal, random.Random(n)))
         self.nodes.append(node)
         self.tasks.append(asyncio.ensure_future(node.run()))
-        node.place_news(
+        node.apply_placement(
             {
                 'seats': {p: list(s) for p, s in self.stores.seats.items()},
                 'book': self.stores.book,
@@ -422,7 +422,7 @@
             await until(lambda: node.gateway and node.gateway.ready())
 
     def lease(self, node, span):
-        node.tell(
+        node.post_event(
             News(
                 {'generation': 1, 'epoch': 1, 'policy': self.policy, 'leaving': [], 'live': 1, 'allot': {}},
                 self.clock.now() + span,
@@ -432,7 +432,7 @@
     async def change(self, node, policy):
         """A later policy is in force at a node."""
         self.generation += 1
-        node.tell(
+        node.post_event(
             News(
                 {
                     'generation': self.generation,
@@ -456,7 +456,7 @@
         rows.update(more)
         pools = {'all': {k: v for k, v in rows.items() if v is not None}}
         listing = {'at': self.clock.now().timestamp(), 'pools': pools, 'digest': digest(pools)}
-        node.tell(Listing(listing))
+        node.post_event(Listing(listing))
         await until(lambda: node.state.listing.get('at') == listing['at'])
 
     def address(self, n, door='gateway'):
--- a/src/quillstall/dataplane/__init__.py
+++ b/src/quillstall/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: a routing node. Cheap, no disk, may be lost at any moment."""
+"""The data plane: routing nodes, which hold no durable state, so any of them may be lost at any time."""
--- a/src/quillstall/dataplane/failures.py
+++ b/src/quillstall/dataplane/failures.py
@@ -1,4 +1,4 @@
-"""Failures: what is known of the requests that ended otherwise than well, so that each can be explained afterwards."""
+"""Keeps the newest failed requests with their attempts, so that each can be explained afterwards."""
 
 from collections import deque
 from datetime import datetime
@@ -7,14 +7,14 @@
 from quillstall.runtime.clock import ms, of_ms
 from quillstall.runtime.errors import Fault
 
-KEPT_MOST = 256
-LOG_EVERY = of_ms(1000)  # one line at most in so long; the others are counted in the next
+MAX_FAILURES = 256
+LOG_INTERVAL = of_ms(1000)  # at most one log line per interval; the next line counts the failures in between
 
 
 class Attempt(NamedTuple):
-    """One offer of a request to a replica that failed.
+    """One failed attempt to have a replica serve a request.
 
-    >>> Attempt('i-1', 12, 'lost', 'reset').said()
+    >>> Attempt('i-1', 12, 'lost', 'reset').as_text()
     'i-1 lost after 12 ms: reset'
     """
 
@@ -23,13 +23,13 @@
     code: str
     text: str
 
-    def said(self) -> str:
-        """The attempt as a part of a line."""
+    def as_text(self) -> str:
+        """Return the attempt as it stands in a log line."""
         return f'{self.replica} {self.code} after {self.after_ms} ms: {self.text}'
 
 
 class Failure(NamedTuple):
-    """One request that ended otherwise than well.
+    """One request that did not succeed.
 
     >>> Failure('x1', '/a', 'shed', 'no room', 503, 9, ()).path
     '/a'
@@ -39,36 +39,43 @@
     path: str
     code: str
     text: str
-    status: int  # 0: its connection was cut
+    status: int  # 0: the connection to the caller was closed
     took_ms: int
     attempts: tuple[Attempt, ...]
 
 
-class Failures:
-    """The newest failures of one node."""
+class FailureLog:
+    """The newest failed requests of one node."""
 
     def __init__(self, clock: Any, journal: Any):
         self.clock = clock
         self.journal = journal
-        self.rows: deque[tuple[datetime, Failure]] = deque(maxlen=KEPT_MOST)
-        self.logged: datetime | None = None
+        self.entries: deque[tuple[datetime, Failure]] = deque(maxlen=MAX_FAILURES)
+        self.last_logged: datetime | None = None
         self.unlogged = 0
 
-    def keep(self, request: str, path: str, fault: Fault, status: int, start: datetime, trail: list) -> None:
-        """Keep one, and log it if none was logged just now: `failures.keep('x1', '/a', fault, 503, start, [])`."""
+    def record(
+        self, request: str, path: str, fault: Fault, status: int, start: datetime, attempts: list
+    ) -> None:
+        """Add a failure, and log it unless another was logged less than `LOG_INTERVAL` ago:
+        `failures.record('x1', '/a', fault, 503, start, [])`."""
         now = self.clock.now()
-        failure = Failure(request, path, fault.code, fault.text, status, ms(now - start), tuple(trail))
-        self.rows.append((self.clock.wall(), failure))
-        if self.logged is not None and now - self.logged < LOG_EVERY:
+        failure = Failure(request, path, fault.code, fault.text, status, ms(now - start), tuple(attempts))
+        self.entries.append((self.clock.wall(), failure))
+        if self.last_logged is not None and now - self.last_logged < LOG_INTERVAL:
             self.unlogged += 1
             return
-        facts = {**failure._asdict(), 'attempts': [attempt.said() for attempt in trail]}
+        facts = {**failure._asdict(), 'attempts': [attempt.as_text() for attempt in attempts]}
         self.journal.note('request_failed', **facts, unlogged=self.unlogged)
-        self.logged, self.unlogged = now, 0
+        self.last_logged, self.unlogged = now, 0
 
-    def shown(self) -> list[dict]:
-        """The failures as JSON shows them, the newest last: `failures.shown()`."""
+    def as_json(self) -> list[dict]:
+        """Return the failures as JSON objects, the newest last: `failures.as_json()`."""
         return [
-            {'at': at.isoformat(), **row._asdict(), 'attempts': [a._asdict() for a in row.attempts]}
-            for at, row in self.rows
+            {
+                'at': at.isoformat(),
+                **failure._asdict(),
+                'attempts': [attempt._asdict() for attempt in failure.attempts],
+            }
+            for at, failure in self.entries
         ]
--- a/src/quillstall/dataplane/gateway.py
+++ b/src/quillstall/dataplane/gateway.py
@@ -21,8 +21,8 @@
 from quillstall.dataplane.admission.messages import Credit, Drain, Health, Leave, Load
 from quillstall.dataplane.chains import Chains, Link
 from quillstall.dataplane.dialect import Dialect, Request
-from quillstall.dataplane.events import Events
-from quillstall.dataplane.failures import Attempt, Failures
+from quillstall.dataplane.event_stream import EventStreamParser
+from quillstall.dataplane.failures import Attempt, FailureLog
 from quillstall.dataplane.keyed import KeyedOperations, WholeAnswer
 from quillstall.dataplane.prefixes import Prefixes
 from quillstall.dataplane.routetable import RouteTable
@@ -75,7 +75,7 @@
         self.routes = RouteTable({})
         self.routes_of = -1  # the generation that they are of
         self.parts: dict[str, float] = {}  # route -> where its next request without a home stands in a split
-        self.failures = Failures(self.ctx.clock, self.ctx.journal)
+        self.failures = FailureLog(self.ctx.clock, self.ctx.journal)
         self.silences: dict[str, Service] = {}  # route -> the longest silences of its turns
         self.leaving = False
         self.last_answers: datetime | None = None  # while it stops: when requests get their last answers
@@ -96,7 +96,7 @@
             not self.leaving
             and bool(state.policy.get('http_routes'))
             and bool(state.listing)
-            and bool(self.node.seats)
+            and bool(self.node.replica_sets)
             and admission_state.leased(state, self.ctx.clock.now())
         )
 
@@ -123,7 +123,7 @@
         while clock.now() < self.last_answers and (self.listener.busy or clock.now() - start < NOTICE):
             await clock.sleep(DRAIN_PAUSE)
         self.listener.server.stop()
-        self.node.tell(Drain())
+        self.node.post_event(Drain())
         self.client.cut_all(Fault('late', 'this node stops'))
         while clock.now() < end and self.listener.busy:
             await clock.sleep(DRAIN_PAUSE)
@@ -210,7 +210,7 @@
             status = await self.tell(out, e, call.path)
             if e.code != 'gone':
                 ident = call.headers.get(self.dialect.request) or ''
-                self.failures.keep(ident, call.path, e, status, start, out.trail)
+                self.failures.record(ident, call.path, e, status, start, out.trail)
 
     async def tell(self, out: Any, fault: Fault, path: str) -> int:
         """Answer with a fault, or break off what has begun; the status told, 0 if none."""
@@ -357,7 +357,7 @@
             self.ctx.journal.violated('answer_owner', request=request.ident, answer=head.get(d.request))
         load = (head.get(d.load) or '').split(',')
         if len(load) == 3 and all(x.strip().isdigit() for x in load):
-            self.node.tell(Load(replica, *(int(x) for x in load)))
+            self.node.post_event(Load(replica, *(int(x) for x in load)))
         return exchange
 
     async def ended(self, task: Task, replica: str) -> bool:
@@ -411,12 +411,12 @@
     def health(self, replica: str, fault: Fault | None, status: int = 200) -> None:
         """What an attempt says of a replica: its fault, or the status that was passed on."""
         if fault is None:
-            self.node.tell(Health(replica, True, erred=status >= 500))
+            self.node.post_event(Health(replica, True, erred=status >= 500))
         elif fault.code not in ('gone', 'hopeless') and not fault.more.get('ours'):
             full = fault.more.get('full', False)
             refused = fault.code == 'unreachable' and not full
             stalled = fault.more.get('stalled', False)
-            self.node.tell(Health(replica, False, not refused, stalled, full=full))
+            self.node.post_event(Health(replica, False, not refused, stalled, full=full))
 
     def attempt_failed(
         self, replica: str, exchange: Exchange | None, fault: Fault, start: datetime, out: Any
@@ -447,7 +447,7 @@
     def stalled(self, replica: str) -> None:
         """A stream from a replica is stalled, and is waited for on."""
         self.ctx.journal.count('stalls')
-        self.node.tell(Health(replica, False, True, True))
+        self.node.post_event(Health(replica, False, True, True))
 
     def head_of(self, headers: Any) -> HTTPHeaders:
         """A replica's head as its caller gets it."""
@@ -460,7 +460,7 @@
     ) -> None:
         """One plain request, from its route to its answer."""
         clock, node = self.ctx.clock, self.node
-        run = node.fresh()
+        run = node.next_id()
         task = self.task(run, name, route, request, self.pool(name, request, route), start, deadline)
         record = f'{request.host} {request.key}' if route['repeat'] == 'keyed' and request.key else None
         if record:
@@ -514,8 +514,8 @@
                             raise
                     if attempts >= SENDS_MOST or e.code == 'hopeless':
                         raise
-                    node.tell(Leave(run))
-                    task, replica = await node.elsewhere(task, replica, gone, e)
+                    node.post_event(Leave(run))
+                    task, replica = await node.readmit(task, replica, gone, e)
             took = clock.now() - began
             done = True
         except Fault as e:
@@ -526,7 +526,7 @@
                 raise
             raise told from e
         finally:
-            node.tell(Leave(run, 1 if done else 0, took))
+            node.post_event(Leave(run, 1 if done else 0, took))
         if record:
             await self.keyed.keep(record, run, answer)
         self.ctx.journal.count('calls.done')
@@ -557,14 +557,14 @@
         }
         until = start + (deadline - start) * STORE_WAIT
         try:
-            ret = await node.shelf(request.program, command, until)
+            ret = await node.call_store(request.program, command, until)
         except Fault as e:
             if e.code != 'turn_unknown':
                 if e.code == 'store_away':  # it may be held: let it go, nothing will be sent
                     self.settle(request, 0)
                 raise
             chain, other = await self.find(request.previous, until), True
-            ret = await node.shelf(request.program, {**command, 'has': True}, until)
+            ret = await node.call_store(request.program, {**command, 'has': True}, until)
         if chain is None:
             chain = b''.join(ret['chain'])
         return chain, other
@@ -575,7 +575,8 @@
         node = self.node
         self.ctx.journal.count('turns.sought')
         work = [
-            node.ask_part(part, {'op': 'turn_find', 'previous': turn}, until) for part in sorted(node.seats)
+            node.call_partition(part, {'op': 'turn_find', 'previous': turn}, until)
+            for part in sorted(node.replica_sets)
         ]
         rets = await asyncio.gather(*work, return_exceptions=True)
         for ret in rets:
@@ -588,7 +589,7 @@
     def settle(self, request: Request, used: int) -> None:
         """Settle a turn that is not kept, without anyone waiting for it."""
         self.node.spawn(
-            self.node.settle(
+            self.node.call_store_in_background(
                 request.program,
                 {'op': 'turn_end', 'program': request.program, 'turn': request.ident, 'used': used},
             )
@@ -599,7 +600,7 @@
     ) -> None:
         """One turn, from its route to its last event."""
         clock, node = self.ctx.clock, self.node
-        run = node.fresh()
+        run = node.next_id()
         pool = self.pool(name, request, route)
         task = self.task(run, name, route, request, pool, start, deadline)
         if (route.get('keep') or request.budget is not None) and not request.ident:
@@ -647,17 +648,17 @@
                     if not headed:
                         headed = True
                         await out.head(200, self.head_of(exchange.headers))
-                    cutter, first = Events(), True
+                    cutter, first = EventStreamParser(), True
                     while True:
                         data = await watch.wait(exchange.data)
                         if data is None:
                             break
-                        events = cutter.take(data)
+                        events = cutter.feed(data)
                         if not events:
                             continue
                         read = request.prompt_tokens if first else 0
                         first = False
-                        node.tell(Credit(run, read + each * len(events)))
+                        node.post_event(Credit(run, read + each * len(events)))
                         for event in events:
                             if not follows(last, event.ident):
                                 self.ctx.journal.violated('event_order', request=request.ident, after=last)
@@ -668,7 +669,7 @@
                             if keep:
                                 said.append((event.data or b'') + b'\n')
                         await out.write(b''.join(e.raw for e in events))
-                    if cutter.left.strip():
+                    if cutter.remainder.strip():
                         raise Fault('lost', 'the stream ended in the middle of an event')
                     self.health(replica, None)
                     self.silences[name] = usual_silence(self.silences.get(name), watch.longest)
@@ -683,13 +684,13 @@
                             raise
                     if offers >= SENDS_MOST or e.code == 'hopeless' or clock.now() >= deadline:
                         raise
-                    node.tell(Leave(run, sent_on * each))
-                    task, replica = await node.elsewhere(task, replica, out.gone, e)
+                    node.post_event(Leave(run, sent_on * each))
+                    task, replica = await node.readmit(task, replica, out.gone, e)
             took = clock.now() - began
             if keep:
                 data = (chain if other else b'') + request.body + b''.join(said)
                 previous = None if other else request.previous
-                await node.shelf(
+                await node.call_store(
                     request.program,
                     {
                         'op': 'turn_end',
@@ -714,7 +715,7 @@
         finally:
             if exchange and not exchange.whole:
                 exchange.cut()
-            node.tell(Leave(run, request.prompt_tokens + sent_on * each if sent_on else 0, took))
+            node.post_event(Leave(run, request.prompt_tokens + sent_on * each if sent_on else 0, took))
             if held and not settled:
                 self.settle(request, sent_on * each)
 
--- a/src/quillstall/dataplane/keyed.py
+++ b/src/quillstall/dataplane/keyed.py
@@ -53,7 +53,7 @@
         until = (self.ctx.clock.wall() + keeping).timestamp()
         command = {'op': 'once_begin', 'key': record, 'digest': '', 'run': run, 'until': until}
         try:
-            ret = await self.node.shelf(record, command, start + (deadline - start) * STORE_WAIT)
+            ret = await self.node.call_store(record, command, start + (deadline - start) * STORE_WAIT)
         except Fault as e:
             if e.code == 'store_away':  # the claim may have been taken
                 await self.void(record, run)
@@ -90,12 +90,12 @@
     def give_up(self, record: str, run: str) -> asyncio.Task:
         """Keep that this run certainly never happens, without anyone waiting for it."""
         command = {'op': 'once_end', 'key': record, 'run': run, 'void': True}
-        return self.node.spawn(self.node.settle(record, command))
+        return self.node.spawn(self.node.call_store_in_background(record, command))
 
     async def keep(self, record: str, run: str, answer: WholeAnswer) -> None:
         """Keep the answer of an operation for its repeats. That it was begun is kept already, so the answer
         need not wait long for this: at worst a repeat hears that it is at work."""
         rows = [list(header) for header in answer.headers.get_all()]
         command = {'op': 'once_end', 'key': record, 'run': run, 'ret': [answer.status, rows, answer.body]}
-        work = self.node.spawn(self.node.settle(record, command))
+        work = self.node.spawn(self.node.call_store_in_background(record, command))
         await asyncio.wait((work,), timeout=WRITE_WAIT.total_seconds())
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -1,4 +1,7 @@
-"""Node: a routing node. One owner works the admission table; one function carries each request."""
+"""A routing node: admits callers' requests and forwards them to inference replicas.
+
+A single task applies all events to the admission state; each request runs in a task of its own.
+"""
 
 import asyncio
 import hashlib
@@ -9,7 +12,7 @@
 from tornado.queues import Queue
 
 from quillstall.configuration.policy import KEEPING_S, ONCE_KEEPING_S
-from quillstall.dataplane import duty, turnid
+from quillstall.dataplane import probe_leadership, turn_ids
 from quillstall.dataplane.admission import (
     admission_state,
     reducer,
@@ -20,9 +23,9 @@
 )
 from quillstall.dataplane.admission.admission_state import State, Task
 from quillstall.dataplane.admission.messages import Arrive, Credit, Drain, Health, Leave, News, Report, Word
-from quillstall.dataplane.ask import Turn, read_key, read_span, read_turn
 from quillstall.dataplane.dialect import Dialect
 from quillstall.dataplane.gateway import Gateway
+from quillstall.dataplane.request_parser import TurnRequest, read_deadline_ms, read_key, read_turn
 from quillstall.network import listing
 from quillstall.network.listing import Listing
 from quillstall.network.packing import with_policy
@@ -36,104 +39,105 @@
 from quillstall.runtime.errors import Fault
 from quillstall.runtime.process import Ctx
 
-TICK = of_ms(100)
-REST = of_ms(1000)  # between clock events while nothing waits
-POLL_LIMIT = of_ms(650)  # a poll is held for 250 ms at most
-POLL_PAUSE = of_ms(60)
-SHY = of_ms(400)
-STORE_LIMIT = of_ms(700)
-RENEW_EVERY = of_ms(250)
-RENEW_FIRST = of_ms(
-    40
-)  # a node that has just started waits so long before it asks, then twice as long each time
-RENEW_LIMIT = of_ms(400)
-RENEW_PART = 0.6  # the core's answers keep more of a lease than this part
-STORE_PAUSE = of_ms(60)
-SERVICE_PART = 0.25  # the prior of a route's service time: this part of its deadline
-MAX_TOKENS = 256
-SETTLE_LIMIT = timedelta(seconds=30)
-RUNNING_MOST = timedelta(seconds=30)
-OWNER_FAULT_WAIT_MS = 500
-SLOW_ASK = of_ms(1000)  # an ask that takes longer is told of
-LIST_AGE_MOST = of_ms(1600)  # a node whose list is older, reckoned from its look-up, asks for it itself
-LIST_AGE_CHECK = of_ms(300)
-LOOK_JITTER_MOST = 1.2  # so that nodes do not ask all at once
-LOOK_EVERY = of_ms(1600)
+TICK_INTERVAL = of_ms(100)
+IDLE_TICK_INTERVAL = of_ms(1000)  # between clock events while no task is pending
+POLL_TIMEOUT = of_ms(650)  # the core holds a poll open for up to 250 ms
+POLL_RETRY_DELAY = of_ms(60)
+CORE_BACKOFF = of_ms(400)
+STORE_TIMEOUT = of_ms(700)
+RENEW_INTERVAL = of_ms(250)
+RENEW_INITIAL_DELAY = of_ms(40)  # until the first renewal after a start; doubles up to RENEW_INTERVAL
+RENEW_TIMEOUT = of_ms(400)
+RENEW_LEASE_FRACTION = 0.6  # replies of the core renew a lease before less than this is left
+STORE_RETRY_DELAY = of_ms(60)
+SERVICE_TIME_FRACTION = 0.25  # of a route's deadline: its expected service time before the first sample
+DEFAULT_MAX_TOKENS = 256
+BACKGROUND_CALL_LIMIT = timedelta(seconds=30)
+MAX_RUN_TIME = timedelta(seconds=30)
+STEP_FAULT_RETRY_MS = 500
+SLOW_STORE_CALL = of_ms(1000)  # a call that takes longer is logged
+MAX_LIST_AGE = of_ms(1600)  # since the platform was asked; a node with an older list asks the platform itself
+MIN_LIST_AGE_CHECK_INTERVAL = of_ms(300)
+MAX_REFRESH_JITTER = 1.2  # spreads the requests of the nodes over time
+MIN_REFRESH_INTERVAL = of_ms(1600)
 
 
 class Node:
-    """One routing node: its context, its admission state and that state's queue of commands."""
+    """One routing node: its context, its admission state and the queue of events for that state."""
 
     def __init__(self, ctx: Ctx):
         self.ctx = ctx
         self.name = f'{ctx.startup["name"]}-{ctx.dice.getrandbits(24):06x}'
         self.state = State()
         self.queue: Queue = Queue()
-        self.words: dict[str, asyncio.Future] = {}
+        self.pending_decisions: dict[str, asyncio.Future] = {}
         self.tasks: set = set()
-        self.seats: dict[str, list] = {}
-        self.book: dict[str, str] = {}
-        self.place = 0
-        self.fleet: str | None = None
-        self.core: list[str] = list(ctx.startup['seeds'])
-        self.core_at: str | None = None
+        self.replica_sets: dict[str, list] = {}
+        self.store_addresses: dict[str, str] = {}
+        self.placement_version = 0
+        self.fleet_id: str | None = None
+        self.core_addresses: list[str] = list(ctx.startup['seeds'])
+        self.core_primary: str | None = None
         self.register = register.NEVER
-        self.lease = of_ms(ctx.startup['lease_ms']) if 'lease_ms' in ctx.startup else LEASE
+        self.lease_duration = of_ms(ctx.startup['lease_ms']) if 'lease_ms' in ctx.startup else LEASE
         self.watch = Watch(silent=of_ms(ctx.startup['silent_ms'])) if 'silent_ms' in ctx.startup else Watch()
-        self.moves: asyncio.Future | None = None  # done when parts have moved
-        self.duty = duty.Duty(ctx, self.name)
-        self.alarm = asyncio.Event()
-        self.busy = 0
-        self.settling = 0
-        self.last = 0
+        self.placement_changed: asyncio.Future | None = None  # done when the placement has changed
+        self.probe_leadership = probe_leadership.ProbeLeadership(ctx, self.name)
+        self.ticks_needed = asyncio.Event()
+        self.active_requests = 0
+        self.background_calls = 0
+        self.last_id = 0
         self.gateway: Any = None
 
-    # ---- the owner of the admission table
+    # ---- the admission state and its event loop
 
     def spawn(self, work: Any) -> Any:
-        """Run work beside the requests: `node.spawn(work())`."""
+        """Run a coroutine as a task that is cancelled when the node stops: `node.spawn(work())`."""
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    def tell(self, event: Any) -> None:
-        """Put an event to the table's owner: `node.tell(Tick())`."""
+    def post_event(self, event: Any) -> None:
+        """Queue an event for the admission state: `node.post_event(Tick())`."""
         self.queue.put_nowait(event)
 
-    async def own(self) -> None:
-        """Work through the table's commands, one after another; when none is left, see to the clock."""
+    async def process_events(self) -> None:
+        """Apply queued events in order; wake the clock when its next event has changed."""
         wake = None
         while True:
-            self.work(await self.queue.get())
+            self.handle_event(await self.queue.get())
             while not self.queue.empty():
-                self.work(self.queue.get_nowait())
-            was, wake = wake, waiting.wake(self.state)
-            if wake != was or (admission_state.fades(self.state) and not self.alarm.is_set()):
-                self.alarm.set()
+                self.handle_event(self.queue.get_nowait())
+            previous, wake = wake, waiting.wake(self.state)
+            if wake != previous or (admission_state.fades(self.state) and not self.ticks_needed.is_set()):
+                self.ticks_needed.set()
 
-    def work(self, event: Any) -> None:
-        """Step through one command and carry out its effects."""
+    def handle_event(self, event: Any) -> None:
+        """Apply one event and carry out its effects."""
         for effect in self.step(event):
             kind = type(effect)
             if kind is Word:
-                self.give(effect)
+                self.deliver_decision(effect)
             elif kind is Count:
                 self.ctx.journal.count(effect.what, effect.more)
             elif kind is Note:
                 self.ctx.journal.note(effect.kind, **effect.facts)
 
-    def give(self, word: Word) -> None:
-        """Tell a decision to the request that waits for it."""
-        wait = self.words.pop(word.name, None)
-        if wait and not wait.done():
-            wait.set_result(word)
-        elif word.replica:  # whoever asked has gone: give the slot back
-            self.tell(Leave(word.name))
+    def deliver_decision(self, decision: Word) -> None:
+        """Hand an admission decision to the request that waits for it."""
+        future = self.pending_decisions.pop(decision.name, None)
+        if future and not future.done():
+            future.set_result(decision)
+        elif decision.replica:  # the caller has disconnected: release the slot
+            self.post_event(Leave(decision.name))
 
     def step(self, event: Any) -> tuple:
-        """One step of the table. An event that it fails on is dropped, a task among them refused: the table
-        stays as it was, and the node serves on."""
+        """Return the effects of applying one event to the admission state.
+
+        If that raises, the state stays as it was, so that the node goes on serving: the event is dropped, and
+        the task of an `Arrive` is refused.
+        """
         before, violated = self.state, self.ctx.journal.violated
         run = before.runs.get(event.name) if type(event) is Leave else None
         try:
@@ -142,7 +146,7 @@
             violated('owner_step', event=type(event).__name__, cause=f'{type(e).__name__}: {e}')
             if type(event) is not Arrive:
                 return ()
-            fault = Fault('no_replica', 'a fault of ours', wait_ms=OWNER_FAULT_WAIT_MS)
+            fault = Fault('no_replica', 'a fault of ours', wait_ms=STEP_FAULT_RETRY_MS)
             return (Word(event.task.name, None, fault.pack()),)
         if self.state.generation < before.generation or self.state.epoch < before.epoch:
             violated('generation_forward', was=before.generation, now=self.state.generation)
@@ -150,227 +154,241 @@
             violated('slots_balance', replica=run.replica, used=self.state.used[run.replica])
         return effects
 
-    async def ticks(self) -> None:
-        """A clock event ten times a second, and one when a pending task becomes hopeless."""
+    async def run_clock(self) -> None:
+        """Post a clock event every `TICK_INTERVAL`, and one when a pending task becomes unable to meet its deadline."""
         while True:
-            self.tell(Tick())
-            self.alarm.clear()
-            at = waiting.wake(self.state)
-            if at is None and not admission_state.fades(self.state):
-                await self.rest()
+            self.post_event(Tick())
+            self.ticks_needed.clear()
+            wake_at = waiting.wake(self.state)
+            if wake_at is None and not admission_state.fades(self.state):
+                await self.wait_until_needed()
                 continue
-            span = TICK if at is None else min(TICK, at - self.ctx.clock.now() + of_ms(1))
-            await self.ctx.clock.sleep(max(of_ms(1), span))
-
-    async def rest(self) -> None:
-        """Nothing waits and nothing is to be forgotten: until something does, no clock event is needed."""
-        slept = self.spawn(self.ctx.clock.sleep(REST))
-        woken = self.spawn(self.alarm.wait())
-        await first(slept, woken)
-        slept.cancel()
-        woken.cancel()
-
-    async def admit(self, task: Task, gone: asyncio.Future, again: bool = False) -> str:
-        """The replica that the task may go to, after at most a brief wait; or a Fault."""
-        wait = self.words[task.name] = asyncio.get_running_loop().create_future()
-        self.tell(Arrive(task, again))
+            delay = (
+                TICK_INTERVAL
+                if wake_at is None
+                else min(TICK_INTERVAL, wake_at - self.ctx.clock.now() + of_ms(1))
+            )
+            await self.ctx.clock.sleep(max(of_ms(1), delay))
+
+    async def wait_until_needed(self) -> None:
+        """Wait up to `IDLE_TICK_INTERVAL` for a pending task or for state that expires; until then none is needed."""
+        timer = self.spawn(self.ctx.clock.sleep(IDLE_TICK_INTERVAL))
+        wake_up = self.spawn(self.ticks_needed.wait())
+        await wait_either(timer, wake_up)
+        timer.cancel()
+        wake_up.cancel()
+
+    async def admit(self, task: Task, disconnected: asyncio.Future, retry: bool = False) -> str:
+        """Return the replica that the task may be sent to; raises a Fault if it is refused or its caller disconnects."""
+        decided = self.pending_decisions[task.name] = asyncio.get_running_loop().create_future()
+        self.post_event(Arrive(task, retry))
         try:
-            await first(wait, gone)
+            await wait_either(decided, disconnected)
         finally:
-            self.words.pop(task.name, None)
-            if not wait.done():
-                self.tell(Leave(task.name))
-        if not wait.done():
+            self.pending_decisions.pop(task.name, None)
+            if not decided.done():
+                self.post_event(Leave(task.name))
+        if not decided.done():
             raise Fault('gone')
-        word = wait.result()
-        if word.fault and self.ctx.clock.now() > task.deadline:  # this node stood still meanwhile
-            raise Fault('late', 'the node was held up until after the deadline', ran='no')
-        if word.fault:
-            raise Fault.of(word.fault)
-        return word.replica
-
-    # ---- news from the core
-
-    async def follow(self) -> None:
-        """Ask the core for news with what this node has, over and over; when the way there fails,
-        through a peer."""
-        clock, turn, fails = self.ctx.clock, 0, 0
-        shy: dict[str, datetime] = {}  # cores that were silent lately, and until when to believe it
+        decision = decided.result()
+        if decision.fault and self.ctx.clock.now() > task.deadline:  # this process was suspended meanwhile
+            raise Fault('late', 'the node was suspended until after the deadline', ran='no')
+        if decision.fault:
+            raise Fault.of(decision.fault)
+        return decision.replica
+
+    # ---- updates from the core
+
+    async def poll_core(self) -> None:
+        """Poll the core for updates, through a peer while the core cannot be reached directly."""
+        clock, iteration, failures = self.ctx.clock, 0, 0
+        avoided_until: dict[str, datetime] = {}  # core process -> end of its back-off after a failed poll
         while True:
-            turn += 1
-            if fails >= 2 and turn % 8 and self.watch.peers:
-                ret, sent = await self.relay(turn)
-                if ret is None:  # no way there either: try the cores again
-                    fails = 0
-                    await clock.sleep(POLL_PAUSE)
+            iteration += 1
+            if failures >= 2 and iteration % 8 and self.watch.peers:
+                reply, sent_at = await self.poll_through_peer(iteration)
+                if reply is None:  # not reachable through a peer either: try the cores again
+                    failures = 0
+                    await clock.sleep(POLL_RETRY_DELAY)
                 else:
-                    self.take(ret, sent)
+                    self.apply_core_update(reply, sent_at)
                 continue
-            bold = [c for c in self.core if shy.get(c, clock.now()) <= clock.now()] or self.core
-            to = self.core_at or bold[turn % len(bold)]
-            sent = clock.now()
+            candidates = [
+                c for c in self.core_addresses if avoided_until.get(c, clock.now()) <= clock.now()
+            ] or self.core_addresses
+            target = self.core_primary or candidates[iteration % len(candidates)]
+            sent_at = clock.now()
             try:
-                ret = await self.ctx.net.ask(to, self.poll(), POLL_LIMIT)
+                reply = await self.ctx.net.ask(target, self.poll_message(), POLL_TIMEOUT)
             except Fault as e:
                 self.ctx.journal.count(f'poll.{e.code}')
-                at = e.more.get('at') if e.code == 'core_away' else None
-                self.core_at = at if at and shy.get(at, clock.now()) <= clock.now() else None
+                primary = e.more.get('at') if e.code == 'core_away' else None
+                self.core_primary = (
+                    primary if primary and avoided_until.get(primary, clock.now()) <= clock.now() else None
+                )
                 if e.code in ('unreachable', 'lost', 'slow'):
-                    fails += 1
-                    shy[to] = clock.now() + SHY
-                elif e.code == 'garbled':  # a seed that is no core: it may know them
-                    await self.learn(to)
-                if not self.core_at:
-                    await clock.sleep(POLL_PAUSE)
+                    failures += 1
+                    avoided_until[target] = clock.now() + CORE_BACKOFF
+                elif e.code == 'garbled':  # a seed of another role: it may know the core
+                    await self.discover_core(target)
+                if not self.core_primary:
+                    await clock.sleep(POLL_RETRY_DELAY)
                 continue
-            fails = 0
-            self.core_at = to
-            self.take(ret, sent)
+            failures = 0
+            self.core_primary = target
+            self.apply_core_update(reply, sent_at)
 
-    async def renew(self) -> None:
-        """While the core gives no news, live by the word of a majority of the registered stores."""
-        first = RENEW_FIRST
+    async def renew_lease(self) -> None:
+        """While the core does not renew the lease, renew it from a majority of the registered stores."""
+        delay = RENEW_INITIAL_DELAY
         while True:
-            needed = self.lease * RENEW_PART
-            left = self.state.lease - self.ctx.clock.now() if self.state.lease else needed
-            await self.ctx.clock.sleep(max(RENEW_EVERY, left - needed) if self.state.lease else first)
+            min_remaining = self.lease_duration * RENEW_LEASE_FRACTION
+            remaining = self.state.lease - self.ctx.clock.now() if self.state.lease else min_remaining
+            await self.ctx.clock.sleep(
+                max(RENEW_INTERVAL, remaining - min_remaining) if self.state.lease else delay
+            )
             lease, now = self.state.lease, self.ctx.clock.now()
-            if (lease is None or lease - now < needed) and self.register['now']:
-                await self.ask_stores()
-                first = min(first * 2, RENEW_EVERY)
-
-    async def ask_stores(self) -> None:
-        """One round of renewal: every registered store is asked, and the newest word is taken if a
-        majority has answered."""
-        sent = self.ctx.clock.now()
-        names = {**self.register['old'], **self.register['now']}
-        rets = await asyncio.gather(*[self.ask_store(n, a) for n, a in sorted(names.items())])
-        rets = {n: r for n, r in zip(sorted(names), rets, strict=False) if r is not None}
-        words = {n: register.read(r['word']) for n, r in rets.items()}
-        self.register, best = register.agreed(self.register, words)
-        if best is None:
+            if (lease is None or lease - now < min_remaining) and self.register['now']:
+                await self.renew_from_stores()
+                delay = min(delay * 2, RENEW_INTERVAL)
+
+    async def renew_from_stores(self) -> None:
+        """Ask every registered store for a renewal, and apply the newest record if a majority has replied."""
+        sent_at = self.ctx.clock.now()
+        stores = {**self.register['old'], **self.register['now']}
+        replies = await asyncio.gather(*[self.request_renewal(n, a) for n, a in sorted(stores.items())])
+        replies = {n: r for n, r in zip(sorted(stores), replies, strict=False) if r is not None}
+        records = {n: register.read(r['word']) for n, r in replies.items()}
+        self.register, newest = register.agreed(self.register, records)
+        if newest is None:
             self.ctx.journal.count('renew.short')
             return
         self.ctx.journal.count('renewed')
-        for ret in rets.values():
-            self.place_news(ret)
-        first = next(iter(rets.values()))
-        self.fleet = self.fleet or first['fleet']
-        news = {
-            'generation': best.generation,
-            'epoch': max(self.state.epoch, best.epoch),
-            'live': best.live if self.state.lease is None else self.state.live,
+        for reply in replies.values():
+            self.apply_placement(reply)
+        any_reply = next(iter(replies.values()))
+        self.fleet_id = self.fleet_id or any_reply['fleet']
+        update = {
+            'generation': newest.generation,
+            'epoch': max(self.state.epoch, newest.epoch),
+            'live': newest.live if self.state.lease is None else self.state.live,
         }
-        if best.policy is not None:
-            news.update(policy=best.policy, leaving=best.leaving)
-        lease = min(of_ms(ret['lease_ms']) for ret in rets.values())
-        self.tell(News(news, sent + lease))
+        if newest.policy is not None:
+            update.update(policy=newest.policy, leaving=newest.leaving)
+        lease = min(of_ms(reply['lease_ms']) for reply in replies.values())
+        self.post_event(News(update, sent_at + lease))
 
-    async def ask_store(self, name: str, address: str) -> dict | None:
+    async def request_renewal(self, name: str, address: str) -> dict | None:
+        """Return one store's reply; None if it did not reply or belongs to another fleet."""
         message = {
             'k': 'renew',
             'to': name,
             'node': self.name,
             'generation': self.state.generation,
             'number': self.register['number'],
-            'place': self.place,
+            'place': self.placement_version,
         }
         try:
-            ret = await self.ctx.net.ask(address, message, RENEW_LIMIT)
+            reply = await self.ctx.net.ask(address, message, RENEW_TIMEOUT)
         except Fault as e:
             self.ctx.journal.count(f'renew.{e.code}')
             return None
-        return ret if self.fleet in (None, ret['fleet']) else None
+        return reply if self.fleet_id in (None, reply['fleet']) else None
 
-    async def learn(self, seed: str) -> None:
-        """Ask any process of the fleet where the core is."""
+    async def discover_core(self, seed: str) -> None:
+        """Ask a process of the fleet for the addresses of the core."""
         try:
-            ret = await self.ctx.net.ask(seed, {'k': 'who'}, POLL_LIMIT)
+            reply = await self.ctx.net.ask(seed, {'k': 'who'}, POLL_TIMEOUT)
         except Fault:
             return
-        if ret.get('core'):
-            self.core, self.core_at = ret['core'], ret.get('at')
+        if reply.get('core'):
+            self.core_addresses, self.core_primary = reply['core'], reply.get('at')
 
-    async def relay(self, turn: int) -> tuple[dict | None, datetime]:
-        """The core's news by way of a peer, if one can reach it."""
-        sent = self.ctx.clock.now()
+    async def poll_through_peer(self, iteration: int) -> tuple[dict | None, datetime]:
+        """Return the core's reply to a poll relayed by a peer, or None, and the time of the poll."""
+        sent_at = self.ctx.clock.now()
         peers = sorted(self.watch.peers.values())
         if peers:
             try:
-                ret = await self.ctx.net.ask(
-                    peers[turn % len(peers)], {'k': 'relay', 'message': self.poll()}, POLL_LIMIT
+                reply = await self.ctx.net.ask(
+                    peers[iteration % len(peers)],
+                    {'k': 'relay', 'message': self.poll_message()},
+                    POLL_TIMEOUT,
                 )
                 self.ctx.journal.count('poll.relayed')
-                return ret, sent
+                return reply, sent_at
             except Fault as e:
                 self.ctx.journal.count(f'relay.{e.code}')
-        return None, sent
+        return None, sent_at
 
-    async def look(self) -> None:
-        """Watch the few peers that the core has named."""
+    async def watch_peers(self) -> None:
+        """Ping the peers that the core has assigned to this node, to detect their failure."""
         while True:
-            self.watch, asks = watch.due(self.watch, self.ctx.clock.now())
-            for name, address in asks:
-                self.spawn(self.ping(name, address))
+            self.watch, pings = watch.due(self.watch, self.ctx.clock.now())
+            for name, address in pings:
+                self.spawn(self.ping_peer(name, address))
             await self.ctx.clock.sleep(self.watch.silent / 3)
 
-    async def serve_duty(self) -> None:
-        """While there are doubts, stand for the probe duty if it is vacant, and do it if it is ours."""
+    async def run_probe_leadership(self) -> None:
+        """While replicas are suspected, campaign for a vacant probe leadership, and probe them as leader."""
         while True:
-            await self.duty.doubted.wait()
-            await self.ctx.clock.sleep(duty.EVERY)
-            mine = self.duty.holds()
-            if (not mine and self.duty.holder is None) or (
-                mine and self.duty.until - self.ctx.clock.now() < duty.TERM / 2
+            await self.probe_leadership.has_suspects.wait()
+            await self.ctx.clock.sleep(probe_leadership.CHECK_INTERVAL)
+            leading = self.probe_leadership.is_leader()
+            if (not leading and self.probe_leadership.leader is None) or (
+                leading and self.probe_leadership.term_end - self.ctx.clock.now() < probe_leadership.TERM / 2
             ):
-                await self.ctx.clock.sleep(duty.EVERY * self.ctx.dice.random())
-                await self.duty.win(self.core)
-            if self.duty.holds():
-                known = {
+                await self.ctx.clock.sleep(probe_leadership.CHECK_INTERVAL * self.ctx.dice.random())
+                await self.probe_leadership.campaign(self.core_addresses)
+            if self.probe_leadership.is_leader():
+                addresses = {
                     r: v['address']
                     for p in self.state.policy.get('pools', {}).values()
                     for r, v in p['replicas'].items()
                 }
-                for replica in self.duty.due():
-                    if replica in known:
-                        self.spawn(self.duty.probe(replica, known[replica]))
+                for replica in self.probe_leadership.replicas_to_probe():
+                    if replica in addresses:
+                        self.spawn(self.probe_leadership.probe(replica, addresses[replica]))
 
-    async def ping(self, name: str, address: str) -> None:
+    async def ping_peer(self, name: str, address: str) -> None:
+        """Ping one peer and record its reply."""
         try:
-            ret = await self.ctx.net.ask(address, {'k': 'who'}, of_ms(watch.PING_LIMIT_MS))
+            reply = await self.ctx.net.ask(address, {'k': 'who'}, of_ms(watch.PING_LIMIT_MS))
         except Fault:
             return
-        self.watch = watch.heard(self.watch, name, ret, self.ctx.clock.now())
+        self.watch = watch.heard(self.watch, name, reply, self.ctx.clock.now())
 
-    async def look_up(self) -> None:
-        """While the list that this node has grows old, ask for it from here: the core may be away, or cut off
-        from the platform itself."""
-        clock, asked = self.ctx.clock, None
-        wait = of_ms(150)  # just started: without a list nothing can be served
+    async def refresh_replica_list(self) -> None:
+        """Ask the platform for the list of replicas while this node's list is too old.
+
+        The core may be down, or partitioned from the platform.
+        """
+        clock, refreshed_at = self.ctx.clock, None
+        interval = of_ms(150)  # after a start nothing can be served until there is a list
         while self.ctx.lister:
             await clock.sleep(
-                wait * self.ctx.dice.random()
-                if asked is None
-                else wait * (LOOK_JITTER_MOST - 0.4 * self.ctx.dice.random())
+                interval * self.ctx.dice.random()
+                if refreshed_at is None
+                else interval * (MAX_REFRESH_JITTER - 0.4 * self.ctx.dice.random())
             )
             now = clock.now()
-            wait = max(LIST_AGE_CHECK, self.listing_lasts(now) / LOOK_JITTER_MOST)
-            if asked is None and self.state.listing:
-                asked = now
+            interval = max(MIN_LIST_AGE_CHECK_INTERVAL, self.listing_time_left(now) / MAX_REFRESH_JITTER)
+            if refreshed_at is None and self.state.listing:
+                refreshed_at = now
                 continue
-            rate = self.ctx.startup.get('list_per_s', 10)
-            every = max(
-                LOOK_EVERY, timedelta(seconds=2 * self.state.live / rate)
-            )  # half of what all may ask together
-            if self.listing_fresh(now) or asked and now - asked < every:
+            max_rate = self.ctx.startup.get('list_per_s', 10)
+            # all nodes together use at most half of the permitted rate
+            min_interval = max(MIN_REFRESH_INTERVAL, timedelta(seconds=2 * self.state.live / max_rate))
+            if self.is_listing_fresh(now) or refreshed_at and now - refreshed_at < min_interval:
                 continue
-            asked = now
+            refreshed_at = now
             try:
-                self.tell(Listing(await self.ctx.lister.look()))
+                self.post_event(Listing(await self.ctx.lister.look()))
             except Fault as e:
                 self.ctx.journal.count(f'list.{e.code}')
 
-    def poll(self) -> dict:
+    def poll_message(self) -> dict:
+        """Return the message that polls the core: what this node has and what it reports."""
         state, now = self.state, self.ctx.clock.now()
         return {
             'k': 'poll',
@@ -382,14 +400,14 @@
             'inc': 1,
             'generation': state.generation,
             'number': self.register['number'],
-            'place': self.place,
+            'place': self.placement_version,
             'pressure': admission_state.pressure(state),
             'has': admission_state.holding(state),
             'doubts': sorted(self.state.down),
             'failing': replica_health.failing(state, now),
-            'serving': replica_health.serving(state, self.duty.doubts, now),
+            'serving': replica_health.serving(state, self.probe_leadership.suspects, now),
             'outcomes': replica_health.told_outcomes(state, now),
-            'reports': self.duty.reports if self.duty.holds() else {},
+            'reports': self.probe_leadership.reports if self.probe_leadership.is_leader() else {},
             'suspects': watch.suspects(self.watch, self.ctx.clock.now()),
             'listing': listing.to_wire(
                 {k: state.listing[k] for k in ('at', 'digest') if k in state.listing}, self.ctx.clock.now()
@@ -403,669 +421,761 @@
             },
         }
 
-    def take(self, ret: dict, sent: datetime) -> None:
-        """Take one answer of the core: `node.take(ret, sent)`."""
-        if self.fleet is not None and ret['fleet'] != self.fleet:
+    def apply_core_update(self, reply: dict, sent_at: datetime) -> None:
+        """Apply the core's reply to a poll: `node.apply_core_update(reply, sent_at)`."""
+        if self.fleet_id is not None and reply['fleet'] != self.fleet_id:
             self.ctx.journal.count('news.stranger')
             return
-        if ret['epoch'] < self.state.epoch:
+        if reply['epoch'] < self.state.epoch:
             self.ctx.journal.count('news.old')
             return
-        ret = with_policy(ret)
-        self.fleet = ret['fleet']
-        self.core = ret['core']
-        self.watch = watch.take(self.watch, ret, self.ctx.clock.now())
-        self.place_news(ret)
-        if ret.get('register', self.register)['number'] > self.register['number']:
-            self.register = ret['register']
-        self.duty.take(ret)
-        for replica, well in ret.get('reports', {}).items():
-            self.tell(Report(replica, well))
-        self.take_listing(ret, sent)
-        self.tell(News(ret, sent + of_ms(ret['lease_ms'])))
-
-    def take_listing(self, ret: dict, sent: datetime) -> None:
-        """Take the core's list, or its word that this node's list was still the list at a later time. Its
-        age counts from when the poll was sent: it is never taken for younger than it is."""
-        if 'listing' in ret:
-            self.tell(Listing(listing.from_wire(ret['listing'], sent)))
-        seen = listing.from_wire(ret.get('listing_seen') or {}, sent)
-        have = self.state.listing
-        if seen and seen['digest'] == have.get('digest') and seen['at'] > have['at']:
-            self.tell(Listing({**have, 'at': seen['at']}))
-
-    def listing_fresh(self, now: datetime) -> bool:
-        """Whether this node's list, wherever it came from, was looked up lately enough."""
-        return self.listing_lasts(now) > timedelta(0)
-
-    def listing_lasts(self, now: datetime) -> timedelta:
-        """How much longer this node's list counts as fresh; zero or less if it is too old or missing."""
-        have = self.state.listing
-        return timedelta(seconds=have['at'] - now.timestamp()) + LIST_AGE_MOST if have else timedelta(0)
-
-    def place_news(self, ret: dict) -> None:
-        """Take who holds which part, if it is newer: `node.place_news(ret)`."""
-        if 'seats' not in ret or ret['place'] <= self.place:
+        reply = with_policy(reply)
+        self.fleet_id = reply['fleet']
+        self.core_addresses = reply['core']
+        self.watch = watch.take(self.watch, reply, self.ctx.clock.now())
+        self.apply_placement(reply)
+        if reply.get('register', self.register)['number'] > self.register['number']:
+            self.register = reply['register']
+        self.probe_leadership.apply_core_update(reply)
+        for replica, report in reply.get('reports', {}).items():
+            self.post_event(Report(replica, report))
+        self.apply_listing(reply, sent_at)
+        self.post_event(News(reply, sent_at + of_ms(reply['lease_ms'])))
+
+    def apply_listing(self, reply: dict, sent_at: datetime) -> None:
+        """Apply the core's list of replicas, or its confirmation that this node's list is still current.
+
+        Its age counts from when the poll was sent, so it is never underestimated.
+        """
+        if 'listing' in reply:
+            self.post_event(Listing(listing.from_wire(reply['listing'], sent_at)))
+        confirmed = listing.from_wire(reply.get('listing_seen') or {}, sent_at)
+        current = self.state.listing
+        if confirmed and confirmed['digest'] == current.get('digest') and confirmed['at'] > current['at']:
+            self.post_event(Listing({**current, 'at': confirmed['at']}))
+
+    def is_listing_fresh(self, now: datetime) -> bool:
+        """Return True if this node's list, whatever its source, is not older than `MAX_LIST_AGE`."""
+        return self.listing_time_left(now) > timedelta(0)
+
+    def listing_time_left(self, now: datetime) -> timedelta:
+        """Return for how long this node's list is still fresh; zero or less if it is too old or missing."""
+        current = self.state.listing
+        return timedelta(seconds=current['at'] - now.timestamp()) + MAX_LIST_AGE if current else timedelta(0)
+
+    def apply_placement(self, reply: dict) -> None:
+        """Apply the placement of the partitions, if it is newer: `node.apply_placement(reply)`."""
+        if 'seats' not in reply or reply['place'] <= self.placement_version:
             return
-        for part, seat in ret['seats'].items():
-            if part not in self.seats or seat[0] >= self.seats[part][0]:
-                self.seats[part] = seat
-        self.book = ret['book']
-        self.place = ret['place']
-        if self.moves and not self.moves.done():
-            self.moves.set_result(None)
-        self.moves = None
-
-    # ---- kept state
-
-    async def shelf(self, key: str, command: dict, until: datetime, code: str = 'store_away') -> dict:
-        """A command to the store that holds the key, tried until a time. Commands may repeat."""
-        while not self.seats:
-            left = until - self.ctx.clock.now()
-            if left <= timedelta(0):
+        for partition, replica_set in reply['seats'].items():
+            if partition not in self.replica_sets or replica_set[0] >= self.replica_sets[partition][0]:
+                self.replica_sets[partition] = replica_set
+        self.store_addresses = reply['book']
+        self.placement_version = reply['place']
+        if self.placement_changed and not self.placement_changed.done():
+            self.placement_changed.set_result(None)
+        self.placement_changed = None
+
+    # ---- calls to the stores
+
+    async def call_store(self, key: str, command: dict, deadline: datetime, code: str = 'store_away') -> dict:
+        """Return the reply of the store that holds the key; raises Fault `code` if none came by the deadline.
+
+        The command is retried, so it must be idempotent.
+        """
+        while not self.replica_sets:
+            remaining = deadline - self.ctx.clock.now()
+            if remaining <= timedelta(0):
                 raise Fault(code, 'no store is known', wait_ms=1000)
-            await self.ctx.clock.sleep(min(STORE_PAUSE, left))
-        return await self.ask_part(part_of(key, len(self.seats)), command, until, code)
+            await self.ctx.clock.sleep(min(STORE_RETRY_DELAY, remaining))
+        return await self.call_partition(part_of(key, len(self.replica_sets)), command, deadline, code)
 
-    async def ask_part(self, part: str, command: dict, until: datetime, code: str = 'store_away') -> dict:
-        """A command to whoever serves a part, tried until a time: `await node.ask_part('p00', {...}, until)`."""
+    async def call_partition(
+        self, partition: str, command: dict, deadline: datetime, code: str = 'store_away'
+    ) -> dict:
+        """Return the reply of a partition's primary; raises Fault `code` if none came by the deadline:
+        `await node.call_partition('p00', {...}, deadline)`."""
         clock = self.ctx.clock
-        start, said = clock.now(), []
+        start, failed_attempts = clock.now(), []
         while True:
-            left = until - clock.now()
-            if clock.now() - start > SLOW_ASK and said is not None:
+            remaining = deadline - clock.now()
+            if clock.now() - start > SLOW_STORE_CALL and failed_attempts is not None:
                 self.ctx.journal.note(
-                    'store_slow', part=part, op=command['op'], seat=self.seats.get(part), tries=said
+                    'store_slow',
+                    part=partition,
+                    op=command['op'],
+                    seat=self.replica_sets.get(partition),
+                    tries=failed_attempts,
                 )
-                said = None
-            if left <= timedelta(0):
+                failed_attempts = None
+            if remaining <= timedelta(0):
                 raise Fault(code, 'no store returned in time', wait_ms=1000)
-            seat = self.seats.get(part)
-            address = self.book.get(seat[2]) if seat else None
+            replica_set = self.replica_sets.get(partition)
+            address = self.store_addresses.get(replica_set[2]) if replica_set else None
             if address:
                 try:
-                    ret = await self.ask_seat(part, seat, address, command, min(left, STORE_LIMIT))
-                    if ret is None:  # it has moved meanwhile: ask where it is now
+                    reply = await self.call_primary(
+                        partition, replica_set, address, command, min(remaining, STORE_TIMEOUT)
+                    )
+                    if reply is None:  # the partition has moved meanwhile: ask its new primary
                         self.ctx.journal.count('store.left')
                         continue
-                    return ret
+                    return reply
                 except Fault as e:
                     if e.code not in ('moved', 'unreachable', 'lost', 'slow'):
                         raise
                     self.ctx.journal.count(f'store.{e.code}')
-                    if said is not None:
-                        said.append(f'{e.code} {address}')
-                    newer = e.more.get('seat') if e.code == 'moved' else None
-                    if newer and newer[0] > seat[0]:
-                        self.seats[part] = newer
+                    if failed_attempts is not None:
+                        failed_attempts.append(f'{e.code} {address}')
+                    newer_set = e.more.get('seat') if e.code == 'moved' else None
+                    if newer_set and newer_set[0] > replica_set[0]:
+                        self.replica_sets[partition] = newer_set
                         continue
-            await clock.sleep(min(STORE_PAUSE, left))
+            await clock.sleep(min(STORE_RETRY_DELAY, remaining))
 
-    async def ask_seat(
-        self, part: str, seat: list, address: str, command: dict, limit: timedelta
+    async def call_primary(
+        self, partition: str, replica_set: list, address: str, command: dict, timeout: timedelta
     ) -> dict | None:
-        """What the part's primary returns; None if the part has moved before it did."""
-        work = asyncio.ensure_future(
-            self.ctx.net.ask(address, {'k': 'op', 'part': part, 'command': command}, limit)
+        """Return the reply of a partition's primary; None if the partition has moved before a reply came."""
+        call = asyncio.ensure_future(
+            self.ctx.net.ask(address, {'k': 'op', 'part': partition, 'command': command}, timeout)
         )
         try:
             while True:
-                if self.moves is None:
-                    self.moves = asyncio.get_running_loop().create_future()
-                await asyncio.wait((work, self.moves), return_when=asyncio.FIRST_COMPLETED)
-                if work.done():
-                    return work.result()
-                if self.seats[part] != seat:
+                if self.placement_changed is None:
+                    self.placement_changed = asyncio.get_running_loop().create_future()
+                await asyncio.wait((call, self.placement_changed), return_when=asyncio.FIRST_COMPLETED)
+                if call.done():
+                    return call.result()
+                if self.replica_sets[partition] != replica_set:
                     return None
         finally:
-            if not work.done():
-                work.cancel()
+            if not call.done():
+                call.cancel()
 
-    async def settle(self, key: str, command: dict) -> None:
-        """A command whose outcome no caller waits for any more, tried for long."""
-        self.settling += 1
+    async def call_store_in_background(self, key: str, command: dict) -> None:
+        """Retry a command whose outcome no caller waits for any more, for up to `BACKGROUND_CALL_LIMIT`."""
+        self.background_calls += 1
         try:
-            await self.shelf(key, command, self.ctx.clock.now() + SETTLE_LIMIT)
+            await self.call_store(key, command, self.ctx.clock.now() + BACKGROUND_CALL_LIMIT)
         except Fault as e:
             self.ctx.journal.count(f'settle.{e.code}')
         finally:
-            self.settling -= 1
+            self.background_calls -= 1
 
-    def fresh(self) -> str:
-        self.last += 1
-        return f'{self.name}.{self.last}'
+    def next_id(self) -> str:
+        """Return an id that is unique in the fleet."""
+        self.last_id += 1
+        return f'{self.name}.{self.last_id}'
 
-    # ---- the two kinds of request
+    # ---- model turns and service calls
 
-    async def turn(self, data: bytes, out: Any) -> None:
-        """One model turn, from its body to its last piece."""
-        clock, start = self.ctx.clock, self.ctx.clock.now()
-        ask = read_turn(data)
+    async def serve_turn(self, data: bytes, response: Any) -> None:
+        """Serve one model turn, from the request body to the end of the response."""
+        clock, received_at = self.ctx.clock, self.ctx.clock.now()
+        request = read_turn(data)
         policy = self.state.policy
         if not policy:
-            raise Fault('no_lease', 'no policy has come yet', wait_ms=1500)
-        route = policy['routes'].get(ask.route)
+            raise Fault('no_lease', 'no policy has been received yet', wait_ms=1500)
+        route = policy['routes'].get(request.route)
         if route is None:
-            raise Fault('no_route', f'no route {ask.route!r}', (('route', 'is not in the policy'),))
-        cls = ask.cls or route['class']
-        if cls != route['class']:
+            raise Fault('no_route', f'no route {request.route!r}', (('route', 'is not in the policy'),))
+        class_name = request.class_name or route['class']
+        if class_name != route['class']:
             raise Fault(
-                'invalid', '1 finding', (('class', f'route {ask.route!r} is of class {route["class"]!r}'),)
+                'invalid',
+                '1 finding',
+                (('class', f'route {request.route!r} is of class {route["class"]!r}'),),
             )
-        span = of_ms(ask.deadline_ms or route.get('deadline_ms') or policy['classes'][cls]['deadline_ms'])
-        deadline = start + span
-        most = ask.max_tokens or route.get('max_tokens') or MAX_TOKENS
-        before = turnid.read(ask.continues) if ask.continues else None
-        program = ask.program or (before.program if before else f'g-{self.fresh()}')
-        if before and before.program != program:
+        time_limit = of_ms(
+            request.deadline_ms or route.get('deadline_ms') or policy['classes'][class_name]['deadline_ms']
+        )
+        deadline = received_at + time_limit
+        max_tokens = request.max_tokens or route.get('max_tokens') or DEFAULT_MAX_TOKENS
+        previous = turn_ids.decode(request.continues) if request.continues else None
+        program = request.program or (previous.program if previous else f'g-{self.next_id()}')
+        if previous and previous.program != program:
             raise Fault('invalid', '1 finding', (('continues', 'is a turn of another program'),))
-        keeping = policy.get('keeping_s', KEEPING_S)
-        prompt = ask.prompt_tokens + (before.tokens if before else 0)
-        name = self.fresh()
+        retention_s = policy.get('keeping_s', KEEPING_S)
+        prompt_tokens = request.prompt_tokens + (previous.tokens if previous else 0)
+        task_id = self.next_id()
         task = Task(
-            name,
-            ask.route,
-            cls,
+            task_id,
+            request.route,
+            class_name,
             route['pool'],
-            prompt + most,
+            prompt_tokens + max_tokens,
             deadline,
-            start,
-            policy['classes'][cls].get('urgent', False),
-            ask.shared or ask.route,
-            before.replica if before else '',
-            prior=of_ms(route['service_ms']) if 'service_ms' in route else span * SERVICE_PART,
+            received_at,
+            policy['classes'][class_name].get('urgent', False),
+            request.shared_prefix or request.route,
+            previous.replica if previous else '',
+            prior=of_ms(route['service_ms']) if 'service_ms' in route else time_limit * SERVICE_TIME_FRACTION,
         )
-        self.rule(
+        self.check_rules(
             policy,
             {
                 'kind': 'turn',
-                'route': ask.route,
-                'class': cls,
+                'route': request.route,
+                'class': class_name,
                 'pool': route['pool'],
                 'program': program,
                 'urgent': task.urgent,
-                'continues': before is not None,
-                'prompt_tokens': prompt,
-                'max_tokens': most,
-                'deadline_ms': ms(span),
+                'continues': previous is not None,
+                'prompt_tokens': prompt_tokens,
+                'max_tokens': max_tokens,
+                'deadline_ms': ms(time_limit),
             },
         )
-        replica = await self.admit(task, out.gone)
-        ident = turnid.write(
-            turnid.TurnId(program, clock.wall(), prompt + most, replica, name.replace('~', '-'))
+        replica = await self.admit(task, response.gone)
+        turn_id = turn_ids.encode(
+            turn_ids.TurnId(
+                program, clock.wall(), prompt_tokens + max_tokens, replica, task_id.replace('~', '-')
+            )
         )
-        used, got, took, settled, began, error = 0, 0, None, False, clock.now(), None
+        used_tokens, piece_count, duration, recorded, started_at, error = 0, 0, None, False, clock.now(), None
         pieces: list[str] = []
-        headed = held = tried = False
+        headers_sent = tokens_reserved = may_have_run = False
         try:
-            history, conv = await self.begin(ask, program, ident, most, task, replica, keeping)
-            held = True
-            began = clock.now()
-            rounds = 0
+            history, conversation = await self.begin_turn(
+                request, program, turn_id, max_tokens, task, replica, retention_s
+            )
+            tokens_reserved = True
+            started_at = clock.now()
+            attempts = 0
             while True:
-                rounds += 1
-                spare_time = rounds < admission_state.rules(self.state)['rounds'] and route.get(
+                attempts += 1
+                may_retry = attempts < admission_state.rules(self.state)['rounds'] and route.get(
                     'repeat', True
                 )
                 try:
-                    async for kind, body in self.round(
-                        replica, task, ask, history, prompt, most, deadline, out.gone, spare_time
+                    async for kind, piece in self.attempt_turn(
+                        replica,
+                        task,
+                        request,
+                        history,
+                        prompt_tokens,
+                        max_tokens,
+                        deadline,
+                        response.gone,
+                        may_retry,
                     ):
                         if kind == 'piece':
-                            if not got:
-                                self.tell(Credit(name, prompt))
-                            used, got = used + body['tokens'], got + 1
-                            self.tell(Credit(name, body['tokens']))
-                            pieces.append(body['text'])
-                            if ask.stream:
-                                if not headed:
-                                    headed = True
-                                    await out.head(200, {'X-Turn-Id': ident})
-                                await out.line(
-                                    {'piece': got - 1, 'text': body['text'], 'tokens': body['tokens']}
+                            if not piece_count:
+                                self.post_event(Credit(task_id, prompt_tokens))
+                            used_tokens, piece_count = used_tokens + piece['tokens'], piece_count + 1
+                            self.post_event(Credit(task_id, piece['tokens']))
+                            pieces.append(piece['text'])
+                            if request.stream:
+                                if not headers_sent:
+                                    headers_sent = True
+                                    await response.head(200, {'X-Turn-Id': turn_id})
+                                await response.line(
+                                    {
+                                        'piece': piece_count - 1,
+                                        'text': piece['text'],
+                                        'tokens': piece['tokens'],
+                                    }
                                 )
                     break
                 except Fault as e:
                     if (
-                        headed
-                        or not spare_time
+                        headers_sent
+                        or not may_retry
                         or e.code not in ('unreachable', 'lost', 'slow', 'replica_failed')
                     ):
                         raise
-                    tried = tried or e.code != 'unreachable'
-                    self.tell(Leave(name, (prompt + used) if got else 0))
-                    used, got, pieces = 0, 0, []
-                    task, replica = await self.elsewhere(task, replica, out.gone, e)
-            took = clock.now() - began
-            keep = {
+                    may_have_run = may_have_run or e.code != 'unreachable'
+                    self.post_event(Leave(task_id, (prompt_tokens + used_tokens) if piece_count else 0))
+                    used_tokens, piece_count, pieces = 0, 0, []
+                    task, replica = await self.readmit(task, replica, response.gone, e)
+            duration = clock.now() - started_at
+            record = {
                 'program': program,
-                'prev': ask.continues,
-                'conv': conv,
-                'prompt': ask.prompt,
+                'prev': request.continues,
+                'conv': conversation,
+                'prompt': request.prompt,
                 'text': ''.join(pieces),
                 'at': clock.wall().timestamp(),
             }
-            await self.shelf(
+            await self.call_store(
                 program,
                 {
                     'op': 'end',
                     'program': program,
-                    'turn': ident,
-                    'used': used,
-                    'keep': keep,
-                    'keeping_s': keeping,
+                    'turn': turn_id,
+                    'used': used_tokens,
+                    'keep': record,
+                    'keeping_s': retention_s,
                 },
-                max(deadline, clock.now() + STORE_LIMIT),
+                max(deadline, clock.now() + STORE_TIMEOUT),
                 'not_kept',
             )
-            settled = True
+            recorded = True
             totals = {
-                'turn': ident,
+                'turn': turn_id,
                 'program': program,
-                'pieces': got,
-                'usage': {'prompt_tokens': prompt, 'completion_tokens': used},
-                'rounds': rounds,
+                'pieces': piece_count,
+                'usage': {'prompt_tokens': prompt_tokens, 'completion_tokens': used_tokens},
+                'rounds': attempts,
             }
-            if ask.stream:
-                if not headed:
-                    await out.head(200, {'X-Turn-Id': ident})
-                await out.line({'end': True, **totals})
-                await out.end()
+            if request.stream:
+                if not headers_sent:
+                    await response.head(200, {'X-Turn-Id': turn_id})
+                await response.line({'end': True, **totals})
+                await response.end()
             else:
-                await out.whole(200, {'text': ''.join(pieces), **totals}, {'X-Turn-Id': ident})
+                await response.whole(200, {'text': ''.join(pieces), **totals}, {'X-Turn-Id': turn_id})
             self.ctx.journal.count('turns.done' if clock.now() <= deadline else 'turns.late')
         except StreamClosedError:
             error = Fault('gone')
         except Fault as e:
             error = (
                 e
-                if not got or e.code in ('gone', 'late', 'not_kept')
+                if not piece_count or e.code in ('gone', 'late', 'not_kept')
                 else Fault('replica_failed', f'the stream broke off: {e.code}', ran='yes')
             )
         finally:
-            self.tell(Leave(name, (prompt + used) if got else 0, took))
-            if held and not settled:
+            self.post_event(Leave(task_id, (prompt_tokens + used_tokens) if piece_count else 0, duration))
+            if tokens_reserved and not recorded:
                 self.spawn(
-                    self.settle(
+                    self.call_store_in_background(
                         program,
                         {
                             'op': 'end',
                             'program': program,
-                            'turn': ident,
-                            'used': used if ask.stream or not error or error.code == 'gone' else 0,
+                            'turn': turn_id,
+                            'used': used_tokens if request.stream or not error or error.code == 'gone' else 0,
                         },
                     )
                 )
         if error is None:
             return
-        if tried and error.ran == 'no':  # an earlier round may have run: this is no refusal
+        if may_have_run and error.ran == 'no':  # an earlier attempt may have run, so this is no refusal
             error = Fault('replica_failed', f'a round was lost, and then: {error.code}')
         self.ctx.journal.count(f'failed.{error.code}')
-        if used and error.code != 'not_kept':
-            self.ctx.journal.count('tokens.abandoned', prompt + used)
-        if headed:
+        if used_tokens and error.code != 'not_kept':
+            self.ctx.journal.count('tokens.abandoned', prompt_tokens + used_tokens)
+        if headers_sent:
             if error.code != 'gone':
-                await out.line({'error': error.problem('/v1/turns'), 'pieces': got})
-                await out.end()
+                await response.line({'error': error.problem('/v1/turns'), 'pieces': piece_count})
+                await response.end()
             return
         raise error
 
-    def rule(self, policy: dict, facts: dict) -> None:
-        """Fault 'ruled_out' if a rule of the policy refuses such a task; asked when all else allows it."""
+    def check_rules(self, policy: dict, facts: dict) -> None:
+        """Raise Fault 'ruled_out' if a rule of the policy refuses the request. All other checks come first."""
         if not policy.get('rules'):
             return
-        from quillstall.configuration import rules  # its library is heavy: only where there are rules
+        from quillstall.configuration import rules  # imported late: its library is slow to load
 
-        hit = rules.judge(policy['rules'], facts)
-        if hit:
-            self.ctx.journal.count(f'ruled_out.{hit[0]}')
-            raise Fault('ruled_out', f'{hit[0]}: {hit[1]}')
+        matched = rules.judge(policy['rules'], facts)
+        if matched:
+            self.ctx.journal.count(f'ruled_out.{matched[0]}')
+            raise Fault('ruled_out', f'{matched[0]}: {matched[1]}')
 
-    async def elsewhere(
-        self, task: Task, replica: str, gone: asyncio.Future, fault: Fault
+    async def readmit(
+        self, task: Task, replica: str, disconnected: asyncio.Future, fault: Fault
     ) -> tuple[Task, str]:
-        """Another replica for a task whose round on this one failed; that round's fault if there is none."""
+        """Admit a task to another replica after a failed attempt; raises that attempt's fault if there is none."""
         task = task._replace(avoid=task.avoid + (replica,))
         try:
-            return task, await self.admit(task, gone, again=True)
+            return task, await self.admit(task, disconnected, retry=True)
         except Fault as e:
             raise (e if e.code == 'gone' else fault) from fault
 
-    async def begin(
-        self, ask: Turn, program: str, ident: str, most: int, task: Task, replica: str, keeping: int
+    async def begin_turn(
+        self,
+        request: TurnRequest,
+        program: str,
+        turn_id: str,
+        max_tokens: int,
+        task: Task,
+        replica: str,
+        retention_s: int,
     ) -> tuple[list, str]:
-        """Hold the turn's tokens of its program on two disks, and get the history it continues."""
+        """Reserve the turn's tokens of its program, durably on two stores; return the history that it continues, and
+        its conversation.
+
+        Raises Fault 'turn_expired' if the turn that it continues is no longer retained.
+        """
         clock = self.ctx.clock
         command = {
             'op': 'begin',
             'program': program,
-            'turn': ident,
-            'budget': ask.budget,
-            'hold': most,
-            'continues': ask.continues,
+            'turn': turn_id,
+            'budget': request.budget,
+            'hold': max_tokens,
+            'continues': request.continues,
             'span_s': (task.deadline - clock.now()).total_seconds(),
         }
         try:
-            ret = await self.shelf(
+            reply = await self.call_store(
                 program, command, task.deadline - service_time.least_time(self.state, task, replica)
             )
-            return ret['history'], ret['conv']
+            return reply['history'], reply['conv']
         except Fault as e:
             if e.code == 'turn_unknown':
-                given = turnid.read(ask.continues).at
-                if clock.wall() - given > timedelta(seconds=keeping):
-                    raise Fault('turn_expired', f'kept for {keeping} s') from e
-            if e.code == 'store_away':  # it may be held: let it go, nothing will be sent
-                self.spawn(self.settle(program, {'op': 'end', 'program': program, 'turn': ident, 'used': 0}))
+                issued_at = turn_ids.decode(request.continues).issued_at
+                if clock.wall() - issued_at > timedelta(seconds=retention_s):
+                    raise Fault('turn_expired', f'turns are retained for {retention_s} s') from e
+            if e.code == 'store_away':  # the tokens may be reserved: release them, the turn is not sent
+                self.spawn(
+                    self.call_store_in_background(
+                        program, {'op': 'end', 'program': program, 'turn': turn_id, 'used': 0}
+                    )
+                )
             raise
 
-    async def round(
+    async def attempt_turn(
         self,
         replica: str,
         task: Task,
-        ask: Turn,
+        request: TurnRequest,
         history: list,
-        prompt: int,
-        most: int,
+        prompt_tokens: int,
+        max_tokens: int,
         deadline: datetime,
-        gone: asyncio.Future,
-        spare_time: bool,
+        disconnected: asyncio.Future,
+        may_retry: bool,
     ) -> Any:
-        """One round of a turn on one replica: its pieces; a Fault if it does not end well."""
+        """Yield the pieces of one attempt of a turn on one replica; raises a Fault if the attempt fails."""
         clock, state = self.ctx.clock, self.state
-        left = deadline - clock.now()
+        remaining = deadline - clock.now()
         if not admission_state.may_send(state, task.pool, replica, clock.now()):
-            raise Fault('unreachable', 'the replica may not get new work')
-        if left < service_time.least_time(state, task, replica):
+            raise Fault('unreachable', 'the replica may not be sent new requests')
+        if remaining < service_time.least_time(state, task, replica):
             raise Fault(
                 'hopeless',
-                'dropped before it was sent',
+                'dropped before it was sent to a replica',
                 wait_ms=admission_state.rules(state)['retry_floor_ms'],
             )
         address = state.policy['pools'][task.pool]['replicas'][replica]['address']
-        service = min(service_time.expected(state, task), max(task.prior, left / 2))
-        patience = max(left - service, service * 2) if spare_time else left
+        expected = min(service_time.expected(state, task), max(task.prior, remaining / 2))
+        first_piece_limit = max(remaining - expected, expected * 2) if may_retry else remaining
         body = {
-            'route': ask.route,
-            'prompt': ask.prompt,
+            'route': request.route,
+            'prompt': request.prompt,
             'history': history,
-            'prompt_tokens': prompt,
-            'max_tokens': most,
-            'shared': ask.shared,
+            'prompt_tokens': prompt_tokens,
+            'max_tokens': max_tokens,
+            'shared': request.shared_prefix,
             'program': task.name,
         }
         self.ctx.journal.count('rounds')
-        flow = self.ctx.web.open(
+        exchange = self.ctx.web.open(
             address,
             'POST',
             '/turn',
             body,
             {
-                'X-Deadline-Ms': str(max(1, ms(left))),
+                'X-Deadline-Ms': str(max(1, ms(remaining))),
                 'X-Task': task.name,
                 'X-Generation': str(state.generation),
             },
-            left,
+            remaining,
         )
-        status, ended, seen = 0, False, 0
+        status, ended, piece_count = 0, False, 0
         try:
             while True:
-                span = deadline - clock.now() if seen else min(patience, deadline - clock.now())
-                item = await self.next(flow, span, gone)
+                timeout = (
+                    deadline - clock.now() if piece_count else min(first_piece_limit, deadline - clock.now())
+                )
+                item = await self.next_item(exchange, timeout, disconnected)
                 if item[0] == 'head':
                     status = item[1]
                 elif item[0] == 'line' and status == 200 and not ended:
                     line = item[1]
                     if line.get('done'):
                         ended = True
-                    elif line.get('piece') != seen:
+                    elif line.get('piece') != piece_count:
                         raise Fault('replica_failed', 'pieces out of order')
                     else:
-                        seen += 1
+                        piece_count += 1
                         yield 'piece', line
                 elif item[0] == 'end':
                     if status == 503:
-                        raise Fault('unreachable', 'the replica refused')
+                        raise Fault('unreachable', 'the replica refused the request')
                     if item[1] is not None or status != 200 or not ended:
-                        raise Fault(item[1] or 'replica_failed', f'{replica}: status {status}, {seen} pieces')
-                    self.tell(Health(replica, True))
+                        raise Fault(
+                            item[1] or 'replica_failed', f'{replica}: status {status}, {piece_count} pieces'
+                        )
+                    self.post_event(Health(replica, True))
                     return
         except Fault as e:
-            late = clock.now() >= deadline
-            if e.code != 'gone' and not (late and seen):
-                self.tell(Health(replica, False))
-            if e.code == 'slow' and late:
-                raise Fault('late', f'{seen} pieces by the deadline') from e
+            past_deadline = clock.now() >= deadline
+            if e.code != 'gone' and not (past_deadline and piece_count):
+                self.post_event(Health(replica, False))
+            if e.code == 'slow' and past_deadline:
+                raise Fault('late', f'{piece_count} pieces by the deadline') from e
             raise
         finally:
-            flow.cut()
+            exchange.cut()
 
-    async def next(self, flow: Any, span: timedelta, gone: asyncio.Future) -> tuple:
-        """What a flow gives next, unless the time runs out or the caller goes away."""
-        work = asyncio.ensure_future(flow.next())
+    async def next_item(self, exchange: Any, timeout: timedelta, disconnected: asyncio.Future) -> tuple:
+        """Return the next item of an exchange; raises Fault 'slow' on a timeout, 'gone' if the caller disconnects."""
+        read = asyncio.ensure_future(exchange.next())
         try:
-            async with asyncio.timeout(max(0.0, span.total_seconds())):
-                await first(work, gone)
+            async with asyncio.timeout(max(0.0, timeout.total_seconds())):
+                await wait_either(read, disconnected)
         except TimeoutError as e:
-            raise Fault('slow', 'the replica is silent') from e
+            raise Fault('slow', 'the replica sent nothing in time') from e
         finally:
-            if not work.done():
-                work.cancel()
-        if not work.done() or work.cancelled():
+            if not read.done():
+                read.cancel()
+        if not read.done() or read.cancelled():
             raise Fault('gone')
-        return work.result()
+        return read.result()
 
-    async def plain(self, service: str, path: str, call: Any, out: Any) -> None:
-        """One plain call, from its line to its answer. Work that may not repeat is sent once."""
-        clock, start = self.ctx.clock, self.ctx.clock.now()
+    async def serve_call(self, service: str, path: str, request: Any, response: Any) -> None:
+        """Serve one call to a service. A call that may not be repeated is sent at most once."""
+        clock, received_at = self.ctx.clock, self.ctx.clock.now()
         policy = self.state.policy
-        key = read_key(call.headers.get('idempotency-key'))
-        if not policy and key:  # it may have run through another node: no refusal
-            raise Fault('outcome_unknown', 'this node cannot look the key up yet', wait_ms=1500)
+        idempotency_key = read_key(request.headers.get('idempotency-key'))
+        if not policy and idempotency_key:  # it may have run through another node, so this is no refusal
+            raise Fault('outcome_unknown', 'this node cannot look up the key yet', wait_ms=1500)
         if not policy:
-            raise Fault('no_lease', 'no policy has come yet', wait_ms=1500)
-        spec = policy.get('services', {}).get(service)
-        rule = spec['paths'].get(path) if spec else None
-        if rule is None:
-            raise Fault('no_service', f'{service}{path} is not in the policy', ran='unknown' if key else '')
-        span = of_ms(
-            read_span(call.headers.get('x-deadline-ms'))
-            or rule.get('deadline_ms')
-            or policy['classes'][spec['class']]['deadline_ms']
+            raise Fault('no_lease', 'no policy has been received yet', wait_ms=1500)
+        service_policy = policy.get('services', {}).get(service)
+        path_policy = service_policy['paths'].get(path) if service_policy else None
+        if path_policy is None:
+            raise Fault(
+                'no_service',
+                f'{service}{path} is not in the policy',
+                ran='unknown' if idempotency_key else '',
+            )
+        time_limit = of_ms(
+            read_deadline_ms(request.headers.get('x-deadline-ms'))
+            or path_policy.get('deadline_ms')
+            or policy['classes'][service_policy['class']]['deadline_ms']
         )
-        deadline, once, name = start + span, not rule['repeat'], self.fresh()
-        kept = f'{service}{path} {key}' if once and key else None
-        if kept:
-            digest = hashlib.blake2b(call.method.encode() + b' ' + call.body, digest_size=16).hexdigest()
-            if await self.claim(kept, digest, name, start + span * (1 - SERVICE_PART), policy, out):
+        deadline, at_most_once, task_id = received_at + time_limit, not path_policy['repeat'], self.next_id()
+        record_key = f'{service}{path} {idempotency_key}' if at_most_once and idempotency_key else None
+        if record_key:
+            digest = hashlib.blake2b(
+                request.method.encode() + b' ' + request.body, digest_size=16
+            ).hexdigest()
+            if await self.claim(
+                record_key,
+                digest,
+                task_id,
+                received_at + time_limit * (1 - SERVICE_TIME_FRACTION),
+                policy,
+                response,
+            ):
                 return
-        cls = spec['class']
+        class_name = service_policy['class']
         task = Task(
-            name,
+            task_id,
             f'{service}{path}',
-            cls,
-            spec['pool'],
+            class_name,
+            service_policy['pool'],
             1,
             deadline,
-            start,
-            policy['classes'][cls].get('urgent', False),
+            received_at,
+            policy['classes'][class_name].get('urgent', False),
             service,
-            prior=of_ms(rule['service_ms']) if 'service_ms' in rule else span * SERVICE_PART,
+            prior=of_ms(path_policy['service_ms'])
+            if 'service_ms' in path_policy
+            else time_limit * SERVICE_TIME_FRACTION,
         )
-        sent = done = tried = False
-        # once-work is seen through to its end, for its record, even if its caller leaves
-        gone = asyncio.get_running_loop().create_future() if kept else out.gone
-        took, began, ret = None, clock.now(), None
-        rounds = 0
+        sent = completed = may_have_run = False
+        # a keyed operation runs to its end for its record, even if its caller disconnects
+        disconnected = asyncio.get_running_loop().create_future() if record_key else response.gone
+        duration, started_at, reply = None, clock.now(), None
+        attempts = 0
         try:
-            self.rule(
+            self.check_rules(
                 policy,
                 {
                     'kind': 'call',
                     'service': service,
                     'path': path,
-                    'class': cls,
-                    'pool': spec['pool'],
+                    'class': class_name,
+                    'pool': service_policy['pool'],
                     'urgent': task.urgent,
-                    'keyed': key is not None,
-                    'deadline_ms': ms(span),
+                    'keyed': idempotency_key is not None,
+                    'deadline_ms': ms(time_limit),
                 },
             )
-            replica = await self.admit(task, out.gone)
-            began = clock.now()
+            replica = await self.admit(task, response.gone)
+            started_at = clock.now()
             while True:
-                rounds += 1
+                attempts += 1
                 try:
                     if not admission_state.may_send(self.state, task.pool, replica, clock.now()):
-                        raise Fault('unreachable', 'the replica may not get new work')
+                        raise Fault('unreachable', 'the replica may not be sent new requests')
                     sent = True
-                    ret = await self.pass_on(replica, task, path, call, deadline, gone, once)
+                    reply = await self.attempt_call(
+                        replica, task, path, request, deadline, disconnected, at_most_once
+                    )
                     break
                 except Fault as e:
                     if e.code == 'unreachable':
                         sent = False
                     if (
                         e.code == 'gone'
-                        or (e.code != 'unreachable' and once)
-                        or (rounds >= admission_state.rules(self.state)['rounds'])
+                        or (e.code != 'unreachable' and at_most_once)
+                        or (attempts >= admission_state.rules(self.state)['rounds'])
                     ):
                         raise
-                    tried = tried or e.code != 'unreachable'
-                    self.tell(Leave(name))
-                    task, replica = await self.elsewhere(task, replica, out.gone, e)
-            took = clock.now() - began
-            if kept:
-                await self.shelf(
-                    kept,
-                    {'op': 'once_end', 'key': kept, 'run': name, 'ret': ret},
-                    max(deadline, clock.now() + STORE_LIMIT),
+                    may_have_run = may_have_run or e.code != 'unreachable'
+                    self.post_event(Leave(task_id))
+                    task, replica = await self.readmit(task, replica, response.gone, e)
+            duration = clock.now() - started_at
+            if record_key:
+                await self.call_store(
+                    record_key,
+                    {'op': 'once_end', 'key': record_key, 'run': task_id, 'ret': reply},
+                    max(deadline, clock.now() + STORE_TIMEOUT),
                     'outcome_unknown',
                 )
-            done = True
+            completed = True
         except Fault as e:
-            if kept and not sent:  # it certainly never ran: say so durably before refusing
+            if record_key and not sent:  # it certainly never ran: record that before refusing
                 try:
-                    await self.shelf(
-                        kept,
-                        {'op': 'once_end', 'key': kept, 'run': name, 'void': True},
-                        clock.now() + STORE_LIMIT,
+                    await self.call_store(
+                        record_key,
+                        {'op': 'once_end', 'key': record_key, 'run': task_id, 'void': True},
+                        clock.now() + STORE_TIMEOUT,
+                    )
+                except Fault as store_fault:
+                    self.spawn(
+                        self.call_store_in_background(
+                            record_key, {'op': 'once_end', 'key': record_key, 'run': task_id, 'void': True}
+                        )
                     )
-                except Fault as away:
-                    self.spawn(self.settle(kept, {'op': 'once_end', 'key': kept, 'run': name, 'void': True}))
                     raise Fault(
-                        'outcome_unknown', 'it did not run, but that could not be kept', wait_ms=1000
-                    ) from away
-            elif kept and ret is not None:
-                self.spawn(self.settle(kept, {'op': 'once_end', 'key': kept, 'run': name, 'ret': ret}))
-            if tried and e.ran == 'no':  # an earlier round may have run: this is no refusal
-                raise Fault('replica_failed', f'a round was lost, and then: {e.code}') from e
+                        'outcome_unknown', 'it did not run, but that could not be recorded', wait_ms=1000
+                    ) from store_fault
+            elif record_key and reply is not None:
+                self.spawn(
+                    self.call_store_in_background(
+                        record_key, {'op': 'once_end', 'key': record_key, 'run': task_id, 'ret': reply}
+                    )
+                )
+            if may_have_run and e.ran == 'no':  # an earlier attempt may have run, so this is no refusal
+                raise Fault('replica_failed', f'an attempt was lost, and then: {e.code}') from e
             if e.code == 'unreachable':
                 raise Fault('no_replica', 'no replica could be reached', wait_ms=1000) from e
-            if once and sent and e.code in ('lost', 'slow', 'late', 'replica_failed'):
+            if at_most_once and sent and e.code in ('lost', 'slow', 'late', 'replica_failed'):
                 raise Fault('outcome_unknown', f'sent, and then: {e.code}') from e
             if e.code == 'slow' or e.code == 'lost':
                 raise Fault('late' if clock.now() >= deadline else 'replica_failed', e.text) from e
             raise
         finally:
-            self.tell(Leave(name, 1 if done else 0, took))
+            self.post_event(Leave(task_id, 1 if completed else 0, duration))
         self.ctx.journal.count('calls.done' if clock.now() <= deadline else 'calls.late')
-        await give(out, ret)
+        await write_reply(response, reply)
 
     async def claim(
-        self, kept: str, digest: str, name: str, deadline: datetime, policy: dict, out: Any
+        self, record_key: str, digest: str, run: str, deadline: datetime, policy: dict, response: Any
     ) -> bool:
-        """Mark once-work as begun, on two disks. True if the caller has been answered from what is kept."""
-        until = (
+        """Record a keyed operation as begun, durably on two stores; return True if an earlier run's response was sent.
+
+        Raises a Fault if an earlier run has not ended or its outcome is unknown.
+        """
+        kept_until = (
             self.ctx.clock.wall() + timedelta(seconds=policy.get('once_keeping_s', ONCE_KEEPING_S))
         ).timestamp()
-        command = {'op': 'once_begin', 'key': kept, 'digest': digest, 'run': name, 'until': until}
+        command = {'op': 'once_begin', 'key': record_key, 'digest': digest, 'run': run, 'until': kept_until}
         try:
-            ret = await self.shelf(kept, command, deadline, 'outcome_unknown')
+            reply = await self.call_store(record_key, command, deadline, 'outcome_unknown')
         except Fault as e:
-            if e.code in ('outcome_unknown', 'store_away'):  # our mark may be there: it did not run by us
-                self.spawn(self.settle(kept, {'op': 'once_end', 'key': kept, 'run': name, 'void': True}))
+            if e.code in ('outcome_unknown', 'store_away'):  # the claim may be recorded: this run is void
+                self.spawn(
+                    self.call_store_in_background(
+                        record_key, {'op': 'once_end', 'key': record_key, 'run': run, 'void': True}
+                    )
+                )
                 raise Fault(
-                    'outcome_unknown', 'what is kept under this key cannot be reached now', wait_ms=1000
+                    'outcome_unknown', 'the record of this key cannot be read now', wait_ms=1000
                 ) from e
             raise
-        if ret['state'] == 'fresh':
+        if reply['state'] == 'fresh':
             return False
-        if ret['state'] == 'done':
+        if reply['state'] == 'done':
             self.ctx.journal.count('once.replayed')
-            await give(out, ret['ret'], {'Idempotency-Replayed': 'true'})
+            await write_reply(response, reply['ret'], {'Idempotency-Replayed': 'true'})
             return True
         self.ctx.journal.count('once.unknown')
-        # a copy of our claim may still be on its way: it must not begin anything once that other run is over
-        self.spawn(self.settle(kept, {'op': 'once_end', 'key': kept, 'run': name, 'void': True}))
-        if ret['age_s'] < RUNNING_MOST.total_seconds():
-            raise Fault('once_running', 'begun and not yet ended; ask again with the same key', wait_ms=1000)
-        raise Fault('outcome_unknown', 'begun once, and how it ended is not known; it will not be run again')
+        # a delayed copy of this claim must not claim the key once the other run is over
+        self.spawn(
+            self.call_store_in_background(
+                record_key, {'op': 'once_end', 'key': record_key, 'run': run, 'void': True}
+            )
+        )
+        if reply['age_s'] < MAX_RUN_TIME.total_seconds():
+            raise Fault('once_running', 'still running; retry with the same key', wait_ms=1000)
+        raise Fault('outcome_unknown', 'started before, with an unknown outcome; it will not be run again')
 
-    async def pass_on(
+    async def attempt_call(
         self,
         replica: str,
         task: Task,
         path: str,
-        call: Any,
+        request: Any,
         deadline: datetime,
-        gone: asyncio.Future,
-        once: bool,
+        disconnected: asyncio.Future,
+        at_most_once: bool,
     ) -> dict:
-        """One round of a plain call: the replica's whole answer."""
+        """Return the complete response of one attempt on one replica; raises a Fault if the attempt fails."""
         clock = self.ctx.clock
         address = self.state.policy['pools'][task.pool]['replicas'][replica]['address']
-        left = deadline - clock.now()
-        heads = {
-            'X-Deadline-Ms': str(max(1, ms(left))),
+        remaining = deadline - clock.now()
+        headers = {
+            'X-Deadline-Ms': str(max(1, ms(remaining))),
             'X-Task': task.name,
             'X-Generation': str(self.state.generation),
-            'Content-Type': call.headers.get('content-type', 'application/json'),
+            'Content-Type': request.headers.get('content-type', 'application/json'),
         }
-        if 'idempotency-key' in call.headers:
-            heads['Idempotency-Key'] = call.headers['idempotency-key']
+        if 'idempotency-key' in request.headers:
+            headers['Idempotency-Key'] = request.headers['idempotency-key']
         self.ctx.journal.count('rounds')
-        body = call.body if call.method != 'GET' else None
-        flow = self.ctx.web.open(address, call.method, path, body, heads, left, once, True)
-        status, kind, data = 0, 'application/json', b''
+        body = request.body if request.method != 'GET' else None
+        exchange = self.ctx.web.open(
+            address, request.method, path, body, headers, remaining, at_most_once, True
+        )
+        status, content_type, response_body = 0, 'application/json', b''
         try:
             while True:
-                item = await self.next(flow, deadline - clock.now(), gone)
+                item = await self.next_item(exchange, deadline - clock.now(), disconnected)
                 if item[0] == 'head':
-                    status, kind = item[1], item[2].get('content-type', kind)
+                    status, content_type = item[1], item[2].get('content-type', content_type)
                 elif item[0] == 'data':
-                    data += item[1]
+                    response_body += item[1]
                 elif item[1] is not None:
-                    raise Fault(item[1], f'{replica} gave no whole answer')
+                    raise Fault(item[1], f'{replica} sent an incomplete response')
                 elif status == 503:
-                    raise Fault('unreachable', 'the replica refused')
+                    raise Fault('unreachable', 'the replica refused the request')
                 elif status >= 500:
                     raise Fault('replica_failed', f'{replica} answered {status}')
                 else:
-                    self.tell(Health(replica, True))
-                    return {'status': status, 'kind': kind, 'data': data}
+                    self.post_event(Health(replica, True))
+                    return {'status': status, 'kind': content_type, 'data': response_body}
         except Fault as e:
             if e.code != 'gone':
-                self.tell(Health(replica, False))
+                self.post_event(Health(replica, False))
             raise
         finally:
-            flow.cut()
+            exchange.cut()
 
-    # ---- what a caller sees
+    # ---- the HTTP API, messages of other processes, start and stop
 
-    async def serve(self, call: Any, out: Any) -> None:
-        """One HTTP request: `await node.serve(call, out)`."""
-        path = call.path.partition('?')[0]
-        self.busy += 1
+    async def serve(self, request: Any, response: Any) -> None:
+        """Serve one HTTP request: `await node.serve(request, response)`."""
+        path = request.path.partition('?')[0]
+        self.active_requests += 1
         try:
             if path == '/v1/turns':
-                if call.method != 'POST':
-                    raise Fault('wrong_method', 'a turn is POSTed')
-                await self.turn(call.body, out)
+                if request.method != 'POST':
+                    raise Fault('wrong_method', 'turns accept only POST')
+                await self.serve_turn(request.body, response)
             elif path.startswith('/v1/services/'):
                 service, _, rest = path[len('/v1/services/') :].partition('/')
-                await self.plain(service, '/' + rest, call, out)
+                await self.serve_call(service, '/' + rest, request, response)
             elif path == '/v1/counters':
-                await out.whole(
+                await response.whole(
                     200,
                     {
                         'counters': dict(sorted(self.ctx.journal.counts.items())),
@@ -1073,14 +1183,16 @@
                     },
                 )
             elif path == '/v1/journal':
-                await out.whole(200, {'lines': list(self.ctx.journal.lines)})
+                await response.whole(200, {'lines': list(self.ctx.journal.lines)})
             elif path == '/v1/status':
-                await out.whole(200, self.status())
+                await response.whole(200, self.status())
             elif path == '/v1/failures':
-                await out.whole(200, {'failures': self.gateway.failures.shown() if self.gateway else []})
+                await response.whole(
+                    200, {'failures': self.gateway.failures.as_json() if self.gateway else []}
+                )
             elif path == '/metrics':
                 data = metrics.exposition(self.ctx.journal.counts, self.gauges())
-                await out.raw(200, data, metrics.CONTENT_TYPE)
+                await response.raw(200, data, metrics.CONTENT_TYPE)
             else:
                 raise Fault('not_found', path)
         except Fault as e:
@@ -1088,20 +1200,20 @@
                 return
             if e.code in ('unreachable', 'lost', 'slow'):
                 e = Fault('no_replica' if e.code == 'unreachable' else 'replica_failed', e.text, wait_ms=1000)
-            wait = e.wait_ms if e.wait_ms is not None else 1000 if e.status == 503 else None
-            e.wait_ms = wait
-            heads = {'Retry-After': refusal.retry_after(wait)} if wait is not None else {}
+            wait_ms = e.wait_ms if e.wait_ms is not None else 1000 if e.status == 503 else None
+            e.wait_ms = wait_ms
+            headers = {'Retry-After': refusal.retry_after(wait_ms)} if wait_ms is not None else {}
             try:
-                await out.whole(e.status, e.problem(path), heads)
+                await response.whole(e.status, e.problem(path), headers)
             except StreamClosedError:
                 pass
         except StreamClosedError:
             pass
         finally:
-            self.busy -= 1
+            self.active_requests -= 1
 
     def status(self) -> dict:
-        """What this node has in force: `node.status()`."""
+        """Return the node's status as JSON shows it: `node.status()`."""
         state, now = self.state, self.ctx.clock.now()
         return {
             'node': self.name,
@@ -1115,56 +1227,58 @@
             'draining': state.draining,
             'down': sorted(state.down),
             'live': state.live,
-            'parts': len(self.seats),
+            'parts': len(self.replica_sets),
             'service_ms': {r: ms(s.expected) for r, s in state.service.items()},
             'rates': {p: v.slot_rate for p, v in state.pools.items()},
         }
 
     def gauges(self) -> dict[str, float]:
-        """What this node has on hand now: `node.gauges()`."""
+        """Return the current values of the node's gauges: `node.gauges()`."""
         state, now = self.state, self.ctx.clock.now()
         lease = (state.lease - now).total_seconds() if state.lease else 0.0
         return {
             'generation': state.generation,
             'lease_s': max(0.0, lease),
-            'settling': self.settling,
+            'settling': self.background_calls,
             'replicas_down': len(state.down),
             **{f'pressure.{pool}': n for pool, n in admission_state.pressure(state).items()},
         }
 
-    async def told(self, message: dict) -> dict:
-        """What other processes may ask a routing node: `await node.told({'k': 'who'})`."""
+    async def handle_message(self, message: dict) -> dict:
+        """Return the reply to a message of another process: `await node.handle_message({'k': 'who'})`."""
         if message.get('k') == 'who':
             return {
                 'ok': True,
                 'me': self.name,
                 'role': 'route',
-                'fleet': self.fleet,
-                'core': self.core,
-                'at': self.core_at,
+                'fleet': self.fleet_id,
+                'core': self.core_addresses,
+                'at': self.core_primary,
             }
         if message.get('k') == 'greet':
-            return self.greeted(message)
+            return self.handle_greeting(message)
         if message.get('k') == 'relay':
             self.ctx.journal.count('relayed')
-            if not self.core_at:
-                raise Fault('core_away', 'this node has no way to the core either')
-            return await self.ctx.net.ask(self.core_at, message['message'], POLL_LIMIT)
+            if not self.core_primary:
+                raise Fault('core_away', 'this node cannot reach the core either')
+            return await self.ctx.net.ask(self.core_primary, message['message'], POLL_TIMEOUT)
         raise Fault('garbled', f'no message of kind {message.get("k")!r}')
 
-    def greeted(self, message: dict) -> dict:
-        """A member of the fleet says where the core and the stores are; taken while this node has no way
-        to either: `node.greeted({'fleet': 'f', 'core': [], 'register': register.NEVER})`."""
-        if self.fleet in (None, message['fleet']):
+    def handle_greeting(self, message: dict) -> dict:
+        """Apply the addresses that a member of the fleet sends; the core's only while this node has no lease:
+        `node.handle_greeting({'fleet': 'f', 'core': [], 'register': register.NEVER})`."""
+        if self.fleet_id in (None, message['fleet']):
             if not admission_state.leased(self.state, self.ctx.clock.now()):
-                self.core, self.core_at = message['core'], None
+                self.core_addresses, self.core_primary = message['core'], None
             if message['register']['number'] > self.register['number']:
                 self.register = message['register']
         return {'ok': True}
 
     async def run(self, ready: Any = None) -> None:
         """Serve until cancelled: `await node.run()`."""
-        await self.ctx.net.serve(self.ctx.startup.get('listen') or self.ctx.startup['address'], self.told)
+        await self.ctx.net.serve(
+            self.ctx.startup.get('listen') or self.ctx.startup['address'], self.handle_message
+        )
         if self.ctx.startup.get('http'):
             await self.ctx.web.serve(self.ctx.startup['http'], self.serve)
         if self.ctx.startup.get('gateway'):
@@ -1175,13 +1289,13 @@
             ready.set_result(self)
         try:
             await asyncio.gather(
-                self.own(),
-                self.ticks(),
-                self.follow(),
-                self.renew(),
-                self.look(),
-                self.serve_duty(),
-                self.look_up(),
+                self.process_events(),
+                self.run_clock(),
+                self.poll_core(),
+                self.renew_lease(),
+                self.watch_peers(),
+                self.run_probe_leadership(),
+                self.refresh_replica_list(),
                 *self.gateway_tasks(),
             )
         finally:
@@ -1194,28 +1308,33 @@
                 await self.ctx.web.close()
 
     def gateway_tasks(self) -> list:
+        """Return the gateway's background coroutines, if there is a gateway."""
         return [self.gateway.tidy()] if self.gateway else []
 
-    async def drain(self, limit: timedelta) -> None:
-        """Take nothing new, refuse what waits, let what runs finish: `await node.drain(of_ms(5000))`."""
-        end = self.ctx.clock.now() + limit
-        if self.gateway:  # callers still come for a while: see them through
-            await self.gateway.drain(end)
-        self.tell(Drain())
-        while (self.busy or self.settling) and self.ctx.clock.now() < end:
+    async def drain(self, timeout: timedelta) -> None:
+        """Refuse new and pending tasks, and wait until running ones have ended or the timeout is over:
+        `await node.drain(of_ms(5000))`."""
+        deadline = self.ctx.clock.now() + timeout
+        if self.gateway:  # callers still send requests for a while: serve them
+            await self.gateway.drain(deadline)
+        self.post_event(Drain())
+        while (self.active_requests or self.background_calls) and self.ctx.clock.now() < deadline:
             await self.ctx.clock.sleep(of_ms(20))
 
 
-async def give(out: Any, ret: dict, more: dict | None = None) -> None:
-    """A replica's answer, as it was: `await give(out, {'status': 200, 'kind': '...', 'data': b''})`."""
-    await out.raw(ret['status'], ret['data'], ret['kind'], {'X-Quillstall-Source': 'replica', **(more or {})})
+async def write_reply(response: Any, reply: dict, headers: dict | None = None) -> None:
+    """Write a replica's response unchanged:
+    `await write_reply(response, {'status': 200, 'kind': '...', 'data': b''})`."""
+    await response.raw(
+        reply['status'], reply['data'], reply['kind'], {'X-Quillstall-Source': 'replica', **(headers or {})}
+    )
 
 
-async def first(wait: Any, gone: asyncio.Future) -> None:
-    """Return when either is done, leaving both as they are: `await first(wait, out.gone)`."""
-    await asyncio.wait((wait, gone), return_when=asyncio.FIRST_COMPLETED)
+async def wait_either(first: Any, second: asyncio.Future) -> None:
+    """Return when either is done, and cancel neither: `await wait_either(decided, response.gone)`."""
+    await asyncio.wait((first, second), return_when=asyncio.FIRST_COMPLETED)
 
 
 async def run(ctx: Ctx, ready: Any = None) -> None:
-    """A routing node from its context to its end: `await run(ctx)`."""
+    """Run a routing node until cancelled: `await run(ctx)`."""
     await Node(ctx).run(ready)
--- a/src/quillstall/testbed/hollow.py
+++ b/src/quillstall/testbed/hollow.py
@@ -96,7 +96,7 @@
         self.epochs: list = []
         self.members: list = []  # (the stores that hold parts, when)
 
-    def tell(self, event: Any) -> None:
+    def post_event(self, event: Any) -> None:
         """Take news as the table's owner would, without pools and policy."""
         if type(event) is not News:
             return
@@ -121,14 +121,14 @@
             live=max(1, ret['live']),
         )
 
-    def place_news(self, ret: dict) -> None:
-        super().place_news(ret)
-        members = frozenset(n for seat in self.seats.values() for n in seat[2:])
+    def apply_placement(self, ret: dict) -> None:
+        super().apply_placement(ret)
+        members = frozenset(n for seat in self.replica_sets.values() for n in seat[2:])
         if not self.members or self.members[-1][0] != members:
             self.members.append((members, time.time()))
 
-    def poll(self) -> dict:
-        return {**super().poll(), 'pressure': {p: 0 for p in self.pool_names}}
+    def poll_message(self) -> dict:
+        return {**super().poll_message(), 'pressure': {p: 0 for p in self.pool_names}}
 
     def leased(self) -> bool:
         """Whether it might send now: `hollow.leased()`."""
@@ -164,9 +164,9 @@
 
     async def run(self, ready: Any = None) -> None:
         """Be a node until cancelled: `await hollow.run()`."""
-        await self.ctx.net.serve(self.ctx.startup['address'], self.told)
+        await self.ctx.net.serve(self.ctx.startup['address'], self.handle_message)
         try:
-            await asyncio.gather(self.follow(), self.renew(), self.look(), self.lapse())
+            await asyncio.gather(self.poll_core(), self.renew_lease(), self.watch_peers(), self.lapse())
         finally:
             for task in list(self.tasks):
                 task.cancel()
@@ -208,11 +208,11 @@
                 n: {
                     'generation': h.state.generation,
                     'epoch': h.state.epoch,
-                    'place': h.place,
+                    'place': h.placement_version,
                     'leased': h.leased(),
                     'allotted': bool(h.state.allot),
                     'slots': sum(h.state.allot.values()),
-                    'parts': len(h.seats),
+                    'parts': len(h.replica_sets),
                 }
                 for n, h in self.nodes.items()
             }
--- a/src/quillstall/testbed/sabotage.py
+++ b/src/quillstall/testbed/sabotage.py
@@ -222,7 +222,7 @@
 @contextmanager
 def lost_is_unsent() -> Iterator[None]:
     """A round whose answer was lost counts as one that was never sent."""
-    real = Node.round
+    real = Node.attempt_turn
 
     async def unsent(self: Any, *more: Any) -> Any:
         try:
@@ -233,7 +233,7 @@
                 raise Fault('unreachable', e.text) from e
             raise
 
-    with patch.object(Node, 'round', unsent):
+    with patch.object(Node, 'attempt_turn', unsent):
         yield
 
 
@@ -242,9 +242,9 @@
     """A refusal is held back until the deadline is over, so that its caller does not ask again."""
     real = Node.admit
 
-    async def held(self: Any, task: Any, gone: Any, again: bool = False) -> str:
+    async def held(self: Any, task: Any, gone: Any, retry: bool = False) -> str:
         try:
-            return await real(self, task, gone, again)
+            return await real(self, task, gone, retry)
         except Fault as e:
             await self.ctx.clock.sleep(task.deadline - self.ctx.clock.now() + timedelta(seconds=1))
             raise e
@@ -256,14 +256,14 @@
 @contextmanager
 def one_key() -> Iterator[None]:
     """Once-records are kept by path, whatever the key and the body."""
-    real = Node.shelf
+    real = Node.call_store
 
     async def short(self: Any, key: str, command: dict, *more: Any) -> dict:
         if command['op'].startswith('once'):
             command = {**command, 'key': command['key'].partition(' ')[0], 'digest': ''}
         return await real(self, key.partition(' ')[0], command, *more)
 
-    with patch.object(Node, 'shelf', short):
+    with patch.object(Node, 'call_store', short):
         yield
 
 
@@ -285,7 +285,7 @@
 @contextmanager
 def cut_is_end() -> Iterator[None]:
     """A stream that breaks off counts as one that has ended."""
-    real = Node.next
+    real = Node.next_item
 
     async def ends(self: Any, flow: Any, span: Any, gone: Any) -> tuple:
         if getattr(flow, 'cut_off', False):
@@ -296,7 +296,7 @@
             return ('line', {'done': True})
         return item
 
-    with patch.object(Node, 'next', ends):
+    with patch.object(Node, 'next_item', ends):
         yield
 
 
@@ -305,13 +305,13 @@
 
     @contextmanager
     def way() -> Iterator[None]:
-        real = Node.round
+        real = Node.attempt_turn
 
         async def changed(self: Any, *more: Any) -> Any:
             async for item in change(real(self, *more), more[1].name):
                 yield item
 
-        with patch.object(Node, 'round', changed):
+        with patch.object(Node, 'attempt_turn', changed):
             yield
 
     return way
