--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -155,7 +155,7 @@
         return effects
 
     async def run_clock(self) -> None:
-        """Post a clock event every `TICK_INTERVAL`, and one when a pending task becomes unable to meet its deadline."""
+        """Post a clock event every `TICK_INTERVAL`, and when a pending task can no longer meet its deadline."""
         while True:
             self.post_event(Tick())
             self.ticks_needed.clear()
@@ -171,7 +171,7 @@
             await self.ctx.clock.sleep(max(of_ms(1), delay))
 
     async def wait_until_needed(self) -> None:
-        """Wait up to `IDLE_TICK_INTERVAL` for a pending task or for state that expires; until then none is needed."""
+        """Wait up to `IDLE_TICK_INTERVAL` until a task is pending or some state is due to expire."""
         timer = self.spawn(self.ctx.clock.sleep(IDLE_TICK_INTERVAL))
         wake_up = self.spawn(self.ticks_needed.wait())
         await wait_either(timer, wake_up)
@@ -179,7 +179,7 @@
         wake_up.cancel()
 
     async def admit(self, task: Task, disconnected: asyncio.Future, retry: bool = False) -> str:
-        """Return the replica that the task may be sent to; raises a Fault if it is refused or its caller disconnects."""
+        """Return the replica that the task may be sent to; raises the Fault of its refusal, 'late' or 'gone'."""
         decided = self.pending_decisions[task.name] = asyncio.get_running_loop().create_future()
         self.post_event(Arrive(task, retry))
         try:
@@ -405,7 +405,7 @@
             'has': admission_state.holding(state),
             'doubts': sorted(self.state.down),
             'failing': replica_health.failing(state, now),
-            'serving': replica_health.serving(state, self.probe_leadership.suspects, now),
+            'serving': replica_health.serving(state, self.probe_leadership.suspected_replicas, now),
             'outcomes': replica_health.told_outcomes(state, now),
             'reports': self.probe_leadership.reports if self.probe_leadership.is_leader() else {},
             'suspects': watch.suspects(self.watch, self.ctx.clock.now()),
@@ -777,7 +777,7 @@
     async def readmit(
         self, task: Task, replica: str, disconnected: asyncio.Future, fault: Fault
     ) -> tuple[Task, str]:
-        """Admit a task to another replica after a failed attempt; raises that attempt's fault if there is none."""
+        """Admit a task to another replica after a failed attempt; raises `fault` if there is none."""
         task = task._replace(avoid=task.avoid + (replica,))
         try:
             return task, await self.admit(task, disconnected, retry=True)
@@ -794,8 +794,7 @@
         replica: str,
         retention_s: int,
     ) -> tuple[list, str]:
-        """Reserve the turn's tokens of its program, durably on two stores; return the history that it continues, and
-        its conversation.
+        """Reserve the turn's tokens, durably on two stores; return the history to continue and its conversation.
 
         Raises Fault 'turn_expired' if the turn that it continues is no longer retained.
         """
@@ -843,11 +842,11 @@
         clock, state = self.ctx.clock, self.state
         remaining = deadline - clock.now()
         if not admission_state.may_send(state, task.pool, replica, clock.now()):
-            raise Fault('unreachable', 'the replica may not be sent new requests')
+            raise Fault('unreachable', 'the replica may not get new work')
         if remaining < service_time.least_time(state, task, replica):
             raise Fault(
                 'hopeless',
-                'dropped before it was sent to a replica',
+                'dropped before it was sent',
                 wait_ms=admission_state.rules(state)['retry_floor_ms'],
             )
         address = state.policy['pools'][task.pool]['replicas'][replica]['address']
@@ -913,7 +912,7 @@
             exchange.cut()
 
     async def next_item(self, exchange: Any, timeout: timedelta, disconnected: asyncio.Future) -> tuple:
-        """Return the next item of an exchange; raises Fault 'slow' on a timeout, 'gone' if the caller disconnects."""
+        """Return the next item of an exchange; raises Fault 'slow' on a timeout, 'gone' on a disconnect."""
         read = asyncio.ensure_future(exchange.next())
         try:
             async with asyncio.timeout(max(0.0, timeout.total_seconds())):
@@ -1004,7 +1003,7 @@
                 attempts += 1
                 try:
                     if not admission_state.may_send(self.state, task.pool, replica, clock.now()):
-                        raise Fault('unreachable', 'the replica may not be sent new requests')
+                        raise Fault('unreachable', 'the replica may not get new work')
                     sent = True
                     reply = await self.attempt_call(
                         replica, task, path, request, deadline, disconnected, at_most_once
@@ -1071,9 +1070,10 @@
     async def claim(
         self, record_key: str, digest: str, run: str, deadline: datetime, policy: dict, response: Any
     ) -> bool:
-        """Record a keyed operation as begun, durably on two stores; return True if an earlier run's response was sent.
+        """Record a keyed operation as begun, durably on two stores.
 
-        Raises a Fault if an earlier run has not ended or its outcome is unknown.
+        Returns True if the caller was sent the response of an earlier run; raises a Fault if an earlier run has
+        not ended or its outcome is unknown.
         """
         kept_until = (
             self.ctx.clock.wall() + timedelta(seconds=policy.get('once_keeping_s', ONCE_KEEPING_S))
--- a/src/quillstall/dataplane/probe_leadership.py
+++ b/src/quillstall/dataplane/probe_leadership.py
@@ -24,7 +24,7 @@
     def __init__(self, ctx: Any, name: str):
         self.ctx = ctx
         self.name = name
-        self.suspects: list[str] = []  # replicas that any node suspects, as the core last reported
+        self.suspected_replicas: list[str] = []  # replicas that any node suspects, as the core last reported
         self.has_suspects = asyncio.Event()
         self.leader: str | None = None
         self.term_end: datetime | None = None  # the end of this node's own term
@@ -37,8 +37,8 @@
 
     def apply_core_update(self, reply: dict) -> None:
         """Apply a reply of the core: `leadership.apply_core_update({'doubts': [], 'duty': None})`."""
-        self.suspects, self.leader = reply.get('doubts', []), reply.get('duty')
-        if self.suspects:
+        self.suspected_replicas, self.leader = reply.get('doubts', []), reply.get('duty')
+        if self.suspected_replicas:
             self.has_suspects.set()
         else:
             self.has_suspects.clear()
@@ -58,7 +58,7 @@
                 continue
         if votes * 2 > len(cores):
             if not self.is_leader():
-                self.ctx.journal.note('duty', name='probe', ballots=votes, doubts=self.suspects)
+                self.ctx.journal.note('duty', name='probe', ballots=votes, doubts=self.suspected_replicas)
             self.term_end = sent_at + TERM
 
     async def probe(self, replica: str, address: str) -> None:
@@ -78,5 +78,7 @@
         """Return the suspected replicas whose next probe is due: `leadership.replicas_to_probe()`."""
         now = self.ctx.clock.now()
         return [
-            r for r in self.suspects if r not in self.probed_at or now - self.probed_at[r] >= RETRY_INTERVAL
+            r
+            for r in self.suspected_replicas
+            if r not in self.probed_at or now - self.probed_at[r] >= RETRY_INTERVAL
         ]
