--- a/features/copies.feature
+++ b/features/copies.feature
@@ -4,7 +4,7 @@
     Given the deployment "hipotecalc" with 6 stores and 6 cores that bears 2 losses, seed <seed>
     When its callers come, and two stores lose their disks at once, later the core's primary and a backup
     Then no rule is broken
-    And at least 80 of 100 pieces of work are answered well
+    And at least 80 of 100 requests succeed
     And the policy that was acknowledged before is shown
     And every part has 3 copies in 3 zones, the core 3 copies and 5 witnesses
 
--- a/features/observability.feature
+++ b/features/observability.feature
@@ -1,29 +1,29 @@
-Feature: What failed can be explained afterwards
+Feature: Failed requests and slow disks can be explained afterwards
 
-  Scenario: a request whose attempts failed is kept with its replicas, times and causes
+  Scenario: a request whose attempts failed is recorded with its replicas, times and causes
     Given 1 node and the replicas "a b"
     And the replicas will in turn "close, close"
     When "/any/x" is asked
-    Then the failures tell of it with status 502 and 2 attempts, each lost at a replica of its own
+    Then the failure log has it with status 502 and 2 attempts, each lost at a different replica
     And the log has a line "request_failed" with its id
 
-  Scenario: a request that was refused before any attempt is kept with the cause
+  Scenario: a request that was refused before any attempt is recorded with the cause
     Given 1 node and the replicas "a"
     And every part is away
     When "/turn/x" is asked with 300 ms
-    Then the failures tell of it with status 503 and 0 attempts, code "store_away"
+    Then the failure log has it with status 503 and 0 attempts, code "store_away"
 
-  Scenario: of many failures in a second one line is logged, and all are kept
+  Scenario: of many failures in a second one line is logged, and all are recorded
     Given 1 node and the replicas "a"
     And the replicas will in turn "close, close"
-    When "/once/x" is asked 2 times in a row
-    Then 2 failures are kept, and 1 line "request_failed" is logged
+    When "/once/x" is asked 2 times in sequence
+    Then 2 failures are recorded, and 1 line "request_failed" is logged
 
-  Scenario: the figures of a node are to be had as text
+  Scenario: the metrics of a node are available as text
     Given 1 node and the replicas "a"
     When "/once/x" is asked
-    Then its metrics have "http.requests" at 1 and a lease of more than 50 seconds
+    Then its metrics show "http.requests" at 1 and a lease of more than 50 seconds
 
-  Scenario: a store says that a sync took long
-    When a store's disk stands still for 1 second in a deployment with traffic
+  Scenario: a store logs a slow sync
+    When a store's disk stalls for 1 second in a deployment with traffic
     Then its journal has a line "sync_slow" of 900 ms or more, and no more than one a second
--- a/features/path.feature
+++ b/features/path.feature
@@ -1,10 +1,10 @@
-Feature: The whole path serves
+Feature: Whole deployments serve their traffic
 
   Scenario Outline: <deploy> under its own traffic, simulated, seed <seed>
     Given the deployment "<deploy>" in the simulator with seed <seed>
-    When its callers come for 8 seconds
+    When its callers send requests for 8 seconds
     Then no rule is broken
-    And at least 97 of 100 pieces of work are answered well
+    And at least 97 of 100 requests succeed
     And every routing node has the policy in force
 
     Examples:
@@ -18,9 +18,9 @@
   @processes
   Scenario Outline: <deploy> as real processes
     Given the deployment "<deploy>" as real processes
-    When its callers come for 4 seconds
+    When its callers send requests for 4 seconds
     Then no rule is broken
-    And at least 50 of 100 pieces of work are answered well
+    And at least 50 of 100 requests succeed
 
     Examples:
       | deploy     |
--- a/features/startup.feature
+++ b/features/startup.feature
@@ -2,7 +2,7 @@
 
   Scenario Outline: <what> is refused with code <code>
     When a process is started with <what>
-    Then it ends with code <code> and says "<text>"
+    Then it exits with code <code> and prints "<text>"
 
     Examples:
       | what                              | code | text                         |
@@ -13,7 +13,7 @@
 
   Scenario: a folder that nobody can write is refused, whoever starts the process
     When a process is started with a folder that nobody can write
-    Then it ends and says "cannot be written"
+    Then it exits and prints "cannot be written"
 
   Scenario: a core with a corrupt data folder sets the file aside once and runs on as a new member
     When a core is started with a corrupt data folder, stopped, and started again
@@ -21,13 +21,13 @@
     And the second start found the folder of the first, and neither ended by itself
 
   Scenario: libcurl may send again on a dead connection that it reuses; once-work may not
-    Given a server that takes a request on a kept connection and ends without an answer
-    When a request follows another on that connection
-    Then the server sees it more than once
-    When a request is sent as once-work
-    Then the server sees it exactly once and the outcome is "lost"
+    Given a server that accepts a request on a kept-alive connection and closes it without a response
+    When a second request is sent on that connection
+    Then the server receives it more than once
+    When a request is sent that may not be repeated
+    Then the server receives it exactly once and the outcome is "lost"
 
   Scenario: a routing node that waits for the stores has its lease as soon as they are back, without a core
-    Given a simulated fleet that has lost its power
+    Given a simulated fleet whose machines have all lost power
     When a routing node is started, and the stores 260 ms later
     Then it has a lease and a policy within 120 ms of the stores
--- a/features/steps/listing.py
+++ b/features/steps/listing.py
@@ -1,4 +1,4 @@
-"""Steps on the list of replicas: who may still use an old one, and how long."""
+"""Steps on the list of replicas: how soon each routing node learns of a change."""
 
 from datetime import UTC, datetime, timedelta
 from unittest.mock import patch
@@ -11,31 +11,31 @@
 from quillstall.testbed.town import play
 
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
-BOUND = timedelta(seconds=3)  # so long after the platform's list shows it, a drain is known
+MAX_DETECTION_TIME = timedelta(seconds=3)  # from the change of the platform's list
 
 
 class SimPlatform:
-    """A platform with one replica, asked by each machine that is not cut off from it."""
+    """A platform with one replica, or two, that answers each machine not partitioned from it."""
 
     def __init__(self):
         self.draining = False
-        self.second = False  # whether another replica is listed
-        self.unreached: set[str] = set()
+        self.lists_second_replica = False
+        self.unreachable_from: set[str] = set()  # names of machines
 
     def pools(self) -> dict:
         row = {'address': '10.8.0.1:1', 'zone': 'z0', 'slots': 4, 'ready': not self.draining, 'cold': False}
-        return {'model': {'r1': row, **({'r2': {**row, 'ready': True}} if self.second else {})}}
+        return {'model': {'r1': row, **({'r2': {**row, 'ready': True}} if self.lists_second_replica else {})}}
 
 
 class SimLister:
-    """What one machine uses to ask the platform."""
+    """The client of the platform on one machine."""
 
     def __init__(self, platform: SimPlatform, world: World, machine, clock):
         self.platform, self.world, self.machine, self.clock = platform, world, machine, clock
 
     async def look(self) -> dict:
         at = self.clock.now().timestamp()
-        if self.machine.name in self.platform.unreached:
+        if self.machine.name in self.platform.unreachable_from:
             await self.world.sleep(0.5)
             raise Fault('slow', 'the platform does not answer')
         pools = self.platform.pools()
@@ -43,108 +43,116 @@
         return {'at': at, 'pools': pools, 'digest': listing.digest(pools)}
 
 
-def knows(node) -> bool:
+def knows_of_drain(node) -> bool:
     row = node.state.listing.get('pools', {}).get('model', {}).get('r1')
     return row is not None and not row['ready']
 
 
-def played(context, troubles, unaware=()):
-    """Let trouble begin, then the drain; how long each node took to know of it."""
-    platform, plain = context.platform, World.ctx
+def run_drain(context, faults, unaware=()):
+    """Inject the faults, start the drain, and measure how long each node takes to learn of it."""
+    platform, original_ctx = context.platform, World.ctx
 
     def with_lister(world, machine, startup):
-        ctx = plain(world, machine, startup)
+        ctx = original_ctx(world, machine, startup)
         return ctx._replace(lister=SimLister(platform, world, machine, ctx.clock))
 
     async def script(town):
         for name in town.named('core'):
-            town.machines[name].ahead = timedelta(seconds=context.core_ahead)
+            town.machines[name].ahead = timedelta(seconds=context.core_clock_offset_s)
         await town.open()
-        await troubles(town)
+        await faults(town)
         platform.draining, start = True, town.world.now()
-        took: dict[str, timedelta] = {}
+        detection_times: dict[str, timedelta] = {}
         while town.world.now() - start < timedelta(seconds=10):
             await town.world.sleep(0.01)
             for node in town.nodes():
-                if knows(node):
-                    took.setdefault(node.name, town.world.now() - start)
-        return {node.name: took.get(node.name) for node in town.nodes()}
+                if knows_of_drain(node):
+                    detection_times.setdefault(node.name, town.world.now() - start)
+        return {node.name: detection_times.get(node.name) for node in town.nodes()}
 
     with patch.object(World, 'ctx', with_lister):
-        context.took = play(context.seed, context.deploy, script)
+        context.detection_times = play(context.seed, context.deploy, script)
 
 
 @given('a platform that lists a replica as ready')
-def listed(context):
-    context.platform, context.core_ahead = SimPlatform(), 0
+def given_platform(context):
+    context.platform, context.core_clock_offset_s = SimPlatform(), 0
 
 
 @given('the wall clocks of the core are {seconds:g} s off')
-def core_off(context, seconds):
-    context.core_ahead = seconds
+def given_core_clock_offset(context, seconds):
+    context.core_clock_offset_s = seconds
 
 
-@when('the primary of the core is cut off from the platform, and the replica begins to drain 5 s later')
-def primary_cut(context):
-    async def troubles(town):
+@when('the primary of the core is partitioned from the platform, and the replica begins to drain 5 s later')
+def partition_primary(context):
+    async def faults(town):
         status = await town.status()
-        context.platform.unreached.add(status['me'].rpartition('-')[0])
+        context.platform.unreachable_from.add(status['me'].rpartition('-')[0])
         await town.world.sleep(5)
 
-    played(context, troubles)
+    run_drain(context, faults)
 
 
-def cut_off(town, name):
-    """Cut a routing node off from all of ours."""
+def isolate(town, name):
+    """Partition a routing node from all processes of the fleet."""
     for other in town.startups:
         if other != name:
             town.world.cut(name, other)
 
 
-@when('a routing node with a list just given by the core is cut off from it, and the replica begins to drain')
-def node_cut(context):
-    async def troubles(town):
-        context.platform.second = True
+@when(
+    'a routing node that has just received a list is partitioned from the core, and the replica begins to drain'
+)
+def partition_node(context):
+    async def faults(town):
+        context.platform.lists_second_replica = True
         await town.world.sleep(1.2)
-        cut_off(town, 'route3')
+        isolate(town, 'route3')
 
-    played(context, troubles)
+    run_drain(context, faults)
 
 
-@when('a routing node with a list of its own reaches only the core again, and the replica begins to drain')
-def node_back(context):
-    async def troubles(town):
-        cut_off(town, 'route3')
+@when(
+    'a routing node that fetched a list itself reaches the core again but not the platform, and the replica begins to drain'
+)
+def heal_node(context):
+    async def faults(town):
+        isolate(town, 'route3')
         await town.world.sleep(1)
-        context.platform.second = True
+        context.platform.lists_second_replica = True
         await town.world.sleep(3)
         town.world.heal()
-        context.platform.unreached.add('route3')
+        context.platform.unreachable_from.add('route3')
         await town.world.sleep(0.5)
 
-    played(context, troubles)
+    run_drain(context, faults)
 
 
-@then('each routing node in touch with the platform knows it within 3 s')
-def known(context):
-    assert context.took, 'no routing node'
-    assert all(t is not None and t <= BOUND for t in context.took.values()), context.took
+@then('each routing node that reaches the platform knows of the drain within 3 s')
+def detected_in_time(context):
+    assert context.detection_times, 'no routing node'
+    assert all(
+        elapsed is not None and elapsed <= MAX_DETECTION_TIME for elapsed in context.detection_times.values()
+    ), context.detection_times
 
 
-@given('a list that was looked up 700 ms ago by a process whose clock is 5 s ahead')
-def looked_up(context):
-    source_now = EPOCH + timedelta(seconds=5)
+@given('a list that was fetched 700 ms ago by a process whose clock is 5 s ahead')
+def given_fetched_list(context):
+    source_time = EPOCH + timedelta(seconds=5)
     pools = SimPlatform().pools()
-    at = (source_now - timedelta(milliseconds=700)).timestamp()
-    context.message = listing.to_wire({'at': at, 'pools': pools, 'digest': listing.digest(pools)}, source_now)
+    at = (source_time - timedelta(milliseconds=700)).timestamp()
+    context.message = listing.to_wire(
+        {'at': at, 'pools': pools, 'digest': listing.digest(pools)}, source_time
+    )
 
 
-@when('a routing node takes it in an answer to a poll that it sent 300 ms ago')
-def taken(context):
-    context.rows = listing.from_wire(context.message, EPOCH - timedelta(milliseconds=300))
+@when('a routing node receives it in the reply to a poll that it sent 300 ms ago')
+def receive_list(context):
+    context.listing = listing.from_wire(context.message, EPOCH - timedelta(milliseconds=300))
 
 
-@then('the node counts it as looked up 1000 ms ago')
-def counted(context):
-    age = EPOCH - datetime.fromtimestamp(context.rows['at'], UTC)
+@then('the node counts it as fetched 1000 ms ago')
+def has_age(context):
+    age = EPOCH - datetime.fromtimestamp(context.listing['at'], UTC)
     assert age == timedelta(milliseconds=1000), age
--- a/features/steps/path.py
+++ b/features/steps/path.py
@@ -1,4 +1,4 @@
-"""Steps that run whole deployments."""
+"""Steps that run whole deployments, simulated or as real processes."""
 
 import asyncio
 from datetime import timedelta
@@ -12,16 +12,16 @@
 
 
 @given('the deployment "{deploy}" in the simulator with seed {seed:d}')
-def town(context, deploy, seed):
+def given_simulated_deployment(context, deploy, seed):
     context.deploy, context.seed = deploy, seed
 
 
 @given('the deployment "{deploy}" as real processes')
-def fleet(context, deploy):
+def given_real_deployment(context, deploy):
     context.deploy, context.seed = deploy, None
 
 
-async def traffic(town, seconds):
+async def run_traffic(town, seconds):
     await town.open()
     await town.crowd.play(timedelta(seconds=seconds))
     await town.crowd.idle()
@@ -35,36 +35,36 @@
     }
 
 
-@when('its callers come for {seconds:d} seconds')
-def callers(context, seconds):
+@when('its callers send requests for {seconds:d} seconds')
+def send_requests(context, seconds):
     if context.seed is None:
         context.result = asyncio.run(play_fleet(DEPLOYS[context.deploy]('127.0', held_port()), seconds))
     else:
-        context.result = play_town(context.seed, context.deploy, lambda t: traffic(t, seconds))
+        context.result = play_town(context.seed, context.deploy, lambda town: run_traffic(town, seconds))
 
 
 @then('no rule is broken')
-def none_broken(context):
+def no_rule_broken(context):
     assert context.result['wrong'] == [], context.result['wrong'][:5]
 
 
-@then('at least {part:d} of 100 pieces of work are answered well')
-def answered(context, part):
+@then('at least {percent:d} of 100 requests succeed')
+def enough_succeed(context, percent):
     total = context.result['report']['total']
-    whole = sum(total.values())
-    assert whole > 40, total
-    assert total.get('good', 0) * 100 >= part * whole, context.result['report']['counts']
+    requests = sum(total.values())
+    assert requests > 40, total
+    assert total.get('good', 0) * 100 >= percent * requests, context.result['report']['counts']
 
 
 @then('every routing node has the policy in force')
-def in_force(context):
+def policy_in_force(context):
     status = context.result['status']
-    routes = [n for n in status['nodes'].values() if n['role'] == 'route']
+    routes = [node for node in status['nodes'].values() if node['role'] == 'route']
     assert len(routes) == 7
-    assert all(n['generation'] == status['generation'] == 1 and n['lease'] for n in routes), routes
+    assert all(node['generation'] == status['generation'] == 1 and node['lease'] for node in routes), routes
 
 
 @then('two runs of "{deploy}" with seed {seed:d} have the same trace and the same report')
-def same(context, deploy, seed):
-    one, two = [play_town(seed, deploy, lambda t: traffic(t, 3)) for _ in range(2)]
-    assert one == two
+def runs_are_identical(context, deploy, seed):
+    first, second = [play_town(seed, deploy, lambda town: run_traffic(town, 3)) for _ in range(2)]
+    assert first == second
