--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -155,7 +155,7 @@
         return effects
 
     async def run_clock(self) -> None:
-        """Post a clock event every `TICK_INTERVAL`, and when a pending task can no longer meet its deadline."""
+        """Post a clock event every `TICK_INTERVAL`, and when a pending task can no longer end in time."""
         while True:
             self.post_event(Tick())
             self.ticks_needed.clear()
@@ -179,7 +179,7 @@
         wake_up.cancel()
 
     async def admit(self, task: Task, disconnected: asyncio.Future, retry: bool = False) -> str:
-        """Return the replica that the task may be sent to; raises the Fault of its refusal, 'late' or 'gone'."""
+        """Return the replica that the task may be sent to; raises a Fault if refused, 'late' or 'gone'."""
         decided = self.pending_decisions[task.name] = asyncio.get_running_loop().create_future()
         self.post_event(Arrive(task, retry))
         try:
@@ -191,8 +191,8 @@
         if not decided.done():
             raise Fault('gone')
         decision = decided.result()
-        if decision.fault and self.ctx.clock.now() > task.deadline:  # this process was suspended meanwhile
-            raise Fault('late', 'the node was suspended until after the deadline', ran='no')
+        if decision.fault and self.ctx.clock.now() > task.deadline:  # this process stalled meanwhile
+            raise Fault('late', 'the node stalled until after the deadline', ran='no')
         if decision.fault:
             raise Fault.of(decision.fault)
         return decision.replica
@@ -437,8 +437,8 @@
         if reply.get('register', self.register)['number'] > self.register['number']:
             self.register = reply['register']
         self.probe_leadership.apply_core_update(reply)
-        for replica, report in reply.get('reports', {}).items():
-            self.post_event(Report(replica, report))
+        for replica, succeeded in reply.get('reports', {}).items():
+            self.post_event(Report(replica, succeeded))
         self.apply_listing(reply, sent_at)
         self.post_event(News(reply, sent_at + of_ms(reply['lease_ms'])))
 
@@ -764,7 +764,7 @@
         raise error
 
     def check_rules(self, policy: dict, facts: dict) -> None:
-        """Raise Fault 'ruled_out' if a rule of the policy refuses the request. All other checks come first."""
+        """Raise Fault 'ruled_out' if a rule of the policy refuses the request; called after other checks."""
         if not policy.get('rules'):
             return
         from quillstall.configuration import rules  # imported late: its library is slow to load
@@ -794,7 +794,7 @@
         replica: str,
         retention_s: int,
     ) -> tuple[list, str]:
-        """Reserve the turn's tokens, durably on two stores; return the history to continue and its conversation.
+        """Reserve the turn's tokens, durably on two stores; return its history and its conversation.
 
         Raises Fault 'turn_expired' if the turn that it continues is no longer retained.
         """
@@ -1072,8 +1072,8 @@
     ) -> bool:
         """Record a keyed operation as begun, durably on two stores.
 
-        Returns True if the caller was sent the response of an earlier run; raises a Fault if an earlier run has
-        not ended or its outcome is unknown.
+        Returns True if the caller was sent the response of an earlier run; raises a Fault if an earlier run
+        has not ended or its outcome is unknown.
         """
         kept_until = (
             self.ctx.clock.wall() + timedelta(seconds=policy.get('once_keeping_s', ONCE_KEEPING_S))
@@ -1106,7 +1106,7 @@
             )
         )
         if reply['age_s'] < MAX_RUN_TIME.total_seconds():
-            raise Fault('once_running', 'still running; retry with the same key', wait_ms=1000)
+            raise Fault('once_running', 'started and not yet ended; retry with the same key', wait_ms=1000)
         raise Fault('outcome_unknown', 'started before, with an unknown outcome; it will not be run again')
 
     async def attempt_call(
