--- a/features/callers.feature
+++ b/features/callers.feature
@@ -71,7 +71,7 @@
     And a repeated request id gives the same generation
     And marking an unknown replica as leaving is 404 "unknown_name", retiring an unknown store 404 "unknown_name"
     And retiring a store where too few would be left is 409 "refused"
-    And swapping an unknown core is 404 "unknown_name", swapping for an address that no spare core has 409 "refused"
+    And swapping an unknown core is 404 "unknown_name", swapping in an unknown spare core 409 "refused"
 
   Scenario: rules take away, are checked, and fail closed
     When rules are put in force that refuse long quotes and divide by the deadline of documents minus 2500
--- a/features/listing.feature
+++ b/features/listing.feature
@@ -10,14 +10,14 @@
     Given the deployment "cartalume" in the simulator with seed 1
     And a platform that lists a replica as ready
     And the wall clocks of the core are 5 s off
-    When a routing node that has just received a list is partitioned from the core, and the replica begins to drain
+    When a routing node that just received a list is partitioned from the core, and the replica begins to drain
     Then each routing node that reaches the platform knows of the drain within 3 s
 
   Scenario: the core's clock is behind, and a routing node that fetched the list itself reaches the core again
     Given the deployment "cartalume" in the simulator with seed 1
     And a platform that lists a replica as ready
     And the wall clocks of the core are -7 s off
-    When a routing node that fetched a list itself reaches the core again but not the platform, and the replica begins to drain
+    When a routing node that fetched a list itself reaches only the core again, and the replica begins to drain
     Then each routing node that reaches the platform knows of the drain within 3 s
 
   Scenario: the age of a list is preserved, whatever the clocks show
--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -345,9 +345,7 @@
     assert (status, problem['code']) == (409, 'refused') and 'would be left' in problem['detail'], problem
 
 
-@then(
-    'swapping an unknown core is 404 "unknown_name", swapping for an address that no spare core has 409 "refused"'
-)
+@then('swapping an unknown core is 404 "unknown_name", swapping in an unknown spare core 409 "refused"')
 def swapping_is_refused(context):
     core = context.cluster.fleet.startups['core0']['address']
     for body, expected in (
--- a/features/steps/listing.py
+++ b/features/steps/listing.py
@@ -102,7 +102,7 @@
 
 
 @when(
-    'a routing node that has just received a list is partitioned from the core, and the replica begins to drain'
+    'a routing node that just received a list is partitioned from the core, and the replica begins to drain'
 )
 def partition_node(context):
     async def faults(town):
@@ -114,7 +114,7 @@
 
 
 @when(
-    'a routing node that fetched a list itself reaches the core again but not the platform, and the replica begins to drain'
+    'a routing node that fetched a list itself reaches only the core again, and the replica begins to drain'
 )
 def heal_node(context):
     async def faults(town):
