--- a/features/steps/gateway_leaving.py
+++ b/features/steps/gateway_leaving.py
@@ -151,7 +151,7 @@
             },
             cluster.clock.now() + timedelta(seconds=100),
         )
-        forward = node.tell
+        forward = node.post_event
 
         def tell(event):
             """Queue the core update before the task, which was created under the older policy."""
@@ -160,7 +160,7 @@
                 forward(update)
             forward(event)
 
-        node.tell = tell
+        node.post_event = tell
         context.response = await cluster.request('/any/x', request_id='c1')
 
     cluster.run(script())
--- a/features/steps/gateway_rules.py
+++ b/features/steps/gateway_rules.py
@@ -88,9 +88,9 @@
 
     async def script():
         exchange = await cluster.begin_request(path, request_id='left', **headers_for(cluster, path))
-        await wait_until(lambda: node.words)
+        await wait_until(lambda: node.pending_decisions)
         exchange.close()
-        await wait_until(lambda: not node.words)
+        await wait_until(lambda: not node.pending_decisions)
         for _ in context.held:
             cluster.proceed.release()
         for held in context.held:
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -501,7 +501,8 @@
             await town.sleep(0.2)
             nodes = [town.hosts.get(name) for name in town.named('route')]
             if all(
-                node and node.seats and admission_state.leased(node.state, town.clock.now()) for node in nodes
+                node and node.replica_sets and admission_state.leased(node.state, town.clock.now())
+                for node in nodes
             ):
                 serving = (town.clock.now() - started).total_seconds()
         second_begin, _ = await begin_keyed(town, partition, 'second', 30)
--- /dev/null
+++ b/features/steps/observability.py
@@ -0,0 +1,98 @@
+"""Steps on the failure log, the metrics and the journal of slow syncs."""
+
+import json
+from datetime import timedelta
+
+from behave import then, when
+from gateway import make_request
+from standin import send_request
+
+from quillstall.testbed.town import play
+
+
+async def fetch_admin_page(cluster, path):
+    response = await (await send_request(cluster.address(1, 'ready'), 'GET', path, {})).read_all()
+    assert response.status == 200, response.status
+    return response.body
+
+
+def recorded_failures(cluster):
+    return json.loads(cluster.run(fetch_admin_page(cluster, '/v1/failures')))['failures']
+
+
+def logged_failures(cluster):
+    return [line for line in cluster.nodes[0].ctx.journal.lines if line['kind'] == 'request_failed']
+
+
+@then(
+    'the failure log has it with status {status:d} and {count:d} attempts, each lost at a different replica'
+)
+def recorded_with_attempts(context, status, count):
+    (failure,) = recorded_failures(context.cluster)
+    assert (failure['request'], failure['status'], failure['path']) == (
+        context.request_id,
+        status,
+        '/any/x',
+    ), failure
+    assert [attempt['code'] for attempt in failure['attempts']] == ['lost'] * count, failure
+    assert len({attempt['replica'] for attempt in failure['attempts']}) == count, failure
+    assert all(0 <= attempt['after_ms'] <= failure['took_ms'] for attempt in failure['attempts']), failure
+
+
+@then('the log has a line "request_failed" with its id')
+def logged_with_id(context):
+    (line,) = logged_failures(context.cluster)
+    assert line['request'] == context.request_id and len(line['attempts']) == 2, line
+
+
+@then('the failure log has it with status {status:d} and {count:d} attempts, code "{code}"')
+def recorded_with_code(context, status, count, code):
+    (failure,) = recorded_failures(context.cluster)
+    assert (failure['request'], failure['status'], failure['code']) == (context.request_id, status, code), (
+        failure
+    )
+    assert len(failure['attempts']) == count and failure['text'], failure
+
+
+@when('"{path}" is asked {count:d} times in sequence')
+def request_in_sequence(context, path, count):
+    for _ in range(count):
+        make_request(context, path)
+
+
+@then('{count:d} failures are recorded, and {lines:d} line "request_failed" is logged')
+def recorded_and_logged(context, count, lines):
+    failures = recorded_failures(context.cluster)
+    assert len(failures) == count and len({failure['request'] for failure in failures}) == count, failures
+    assert len(logged_failures(context.cluster)) == lines, logged_failures(context.cluster)
+
+
+@then('its metrics show "{name}" at {count:d} and a lease of more than {seconds:d} seconds')
+def shows_metrics(context, name, count, seconds):
+    lines = context.cluster.run(fetch_admin_page(context.cluster, '/metrics')).decode().splitlines()
+    assert f'quillstall_events_total{{event="{name}"}} {count}' in lines, lines
+    lease = next(line for line in lines if line.startswith('quillstall_gauge{of="lease_s"}'))
+    assert float(lease.rpartition(' ')[2]) > seconds, lease
+
+
+@when("a store's disk stalls for {seconds:d} second in a deployment with traffic")
+def stall_disk(context, seconds):
+    async def script(town):
+        await town.open()
+        town.crowd.spawn(town.crowd.play(timedelta(seconds=4)))
+        await town.sleep(1)
+        machine = town.machines['store0']
+        machine.hung = True
+        await town.sleep(seconds)
+        machine.hung = False
+        await town.sleep(2)
+        await town.crowd.idle()
+        return list(machine.journal.lines)
+
+    context.journal_lines = play(5, 'cartalume', script)
+
+
+@then('its journal has a line "sync_slow" of {minimum:d} ms or more, and no more than one a second')
+def slow_sync_logged(context, minimum):
+    lines = [line for line in context.journal_lines if line['kind'] == 'sync_slow']
+    assert lines and max(line['ms'] for line in lines) >= minimum and len(lines) <= 4, lines
--- a/features/steps/standin.py
+++ b/features/steps/standin.py
@@ -423,7 +423,7 @@
         node = Node(Ctx(startup, self.clock, self.stores, None, None, journal, random.Random(index)))
         self.nodes.append(node)
         self.tasks.append(asyncio.ensure_future(node.run()))
-        node.place_news(
+        node.apply_placement(
             {
                 'seats': {p: list(s) for p, s in self.stores.replica_sets.items()},
                 'book': self.stores.addresses,
@@ -437,7 +437,7 @@
             await wait_until(lambda: node.gateway and node.gateway.ready())
 
     def grant_lease(self, node, span):
-        node.tell(
+        node.post_event(
             News(
                 {'generation': 1, 'epoch': 1, 'policy': self.policy, 'leaving': [], 'live': 1, 'allot': {}},
                 self.clock.now() + span,
@@ -447,7 +447,7 @@
     async def change_policy(self, node, policy):
         """Give a node a newer policy and wait until it is in force."""
         self.generation += 1
-        node.tell(
+        node.post_event(
             News(
                 {
                     'generation': self.generation,
@@ -471,7 +471,7 @@
         rows.update(overrides)
         pools = {'all': {k: v for k, v in rows.items() if v is not None}}
         listing = {'at': self.clock.now().timestamp(), 'pools': pools, 'digest': digest(pools)}
-        node.tell(Listing(listing))
+        node.post_event(Listing(listing))
         await wait_until(lambda: node.state.listing.get('at') == listing['at'])
 
     def address(self, node_number, listener='gateway'):
--- a/src/quillstall/dataplane/gateway.py
+++ b/src/quillstall/dataplane/gateway.py
@@ -19,8 +19,8 @@
 from quillstall.dataplane.admission.admission_state import Service, Task
 from quillstall.dataplane.admission.messages import Credit, Drain, Health, Leave, Load
 from quillstall.dataplane.dialect import Dialect, Request
-from quillstall.dataplane.events import Events
-from quillstall.dataplane.failures import Attempt, Failures
+from quillstall.dataplane.event_stream import EventStreamParser
+from quillstall.dataplane.failures import Attempt, FailureLog
 from quillstall.dataplane.keyed import CompleteResponse, KeyedOperations
 from quillstall.dataplane.prefixes import Prefixes
 from quillstall.dataplane.routetable import RouteTable
@@ -74,7 +74,7 @@
         self.routes = RouteTable({})
         self.routes_generation = -1  # the policy generation of `routes`
         self.split_positions: dict[str, float] = {}  # route -> position of its next request without affinity
-        self.failures = Failures(self.ctx.clock, self.ctx.journal)
+        self.failures = FailureLog(self.ctx.clock, self.ctx.journal)
         self.silences: dict[str, Service] = {}  # route -> longest silences of its streams
         self.draining = False
         self.final_response_at: datetime | None = None  # while draining: when open requests are answered
@@ -95,7 +95,7 @@
             not self.draining
             and bool(state.policy.get('http_routes'))
             and bool(state.listing)
-            and bool(self.node.seats)
+            and bool(self.node.replica_sets)
             and admission_state.leased(state, self.ctx.clock.now())
         )
 
@@ -125,7 +125,7 @@
         ):
             await clock.sleep(DRAIN_POLL_INTERVAL)
         self.listener.server.stop()
-        self.node.tell(Drain())
+        self.node.post_event(Drain())
         self.client.cut_all(Fault('late', 'this node stops'))
         while clock.now() < end and self.listener.busy:
             await clock.sleep(DRAIN_POLL_INTERVAL)
@@ -219,7 +219,7 @@
             status = await self.respond_with_fault(response, e, call.path)
             if e.code != 'gone':
                 request_id = call.headers.get(self.dialect.request_id) or ''
-                self.failures.keep(request_id, call.path, e, status, start, response.trail)
+                self.failures.record(request_id, call.path, e, status, start, response.trail)
 
     async def respond_with_fault(self, response: Any, fault: Fault, path: str) -> int:
         """Answer with a fault and return its status, or cut a response that has begun and return 0."""
@@ -377,7 +377,7 @@
             )
         load = (head.get(names.load) or '').split(',')
         if len(load) == 3 and all(x.strip().isdigit() for x in load):
-            self.node.tell(Load(replica, *(int(x) for x in load)))
+            self.node.post_event(Load(replica, *(int(x) for x in load)))
         return exchange
 
     async def refuses_connections(self, task: Task, replica: str) -> bool:
@@ -435,12 +435,12 @@
     def report_health(self, replica: str, fault: Fault | None, status: int = 200) -> None:
         """Report the outcome of an attempt to admission: its fault, or the status that was forwarded."""
         if fault is None:
-            self.node.tell(Health(replica, True, erred=status >= 500))
+            self.node.post_event(Health(replica, True, erred=status >= 500))
         elif fault.code not in ('gone', 'hopeless') and not fault.more.get('ours'):
             full = fault.more.get('full', False)
             refused = fault.code == 'unreachable' and not full
             stalled = fault.more.get('stalled', False)
-            self.node.tell(Health(replica, False, not refused, stalled, full=full))
+            self.node.post_event(Health(replica, False, not refused, stalled, full=full))
 
     def record_failed_attempt(
         self, replica: str, exchange: Exchange | None, fault: Fault, start: datetime, response: Any
@@ -473,7 +473,7 @@
     def report_stall(self, replica: str) -> None:
         """Report a stalled stream to admission; the gateway keeps waiting for it."""
         self.ctx.journal.count('stalls')
-        self.node.tell(Health(replica, False, True, True))
+        self.node.post_event(Health(replica, False, True, True))
 
     def response_headers(self, headers: Any) -> HTTPHeaders:
         """Return a replica's response headers as the caller gets them."""
@@ -492,7 +492,7 @@
     ) -> None:
         """Serve one plain request: claim its key, send it, retry it where the route allows, and respond."""
         clock, node = self.ctx.clock, self.node
-        run_id = node.fresh()
+        run_id = node.next_id()
         task = self.admission_task(
             run_id, route_name, route, request, self.choose_pool(route_name, request, route), start, deadline
         )
@@ -554,8 +554,8 @@
                             raise
                     if sends >= MAX_SENDS or e.code == 'hopeless':
                         raise
-                    node.tell(Leave(run_id))
-                    task, replica = await node.elsewhere(task, replica, disconnected, e)
+                    node.post_event(Leave(run_id))
+                    task, replica = await node.readmit(task, replica, disconnected, e)
             duration = clock.now() - sent_at
             done = True
         except Fault as e:
@@ -566,7 +566,7 @@
                 raise
             raise final from e
         finally:
-            node.tell(Leave(run_id, 1 if done else 0, duration))
+            node.post_event(Leave(run_id, 1 if done else 0, duration))
         if record_key:
             await self.keyed_operations.save_response(record_key, run_id, final_response)
         self.ctx.journal.count('calls.done')
@@ -602,14 +602,14 @@
         }
         until = start + (deadline - start) * STORE_WAIT_FRACTION
         try:
-            reply = await node.shelf(request.program, command, until)
+            reply = await node.call_store(request.program, command, until)
         except Fault as e:
             if e.code != 'turn_unknown':
                 if e.code == 'store_away':  # the tokens may be reserved: release them, nothing will be sent
                     self.settle_turn(request, 0)
                 raise
             conversation, other_program = await self.find_turn(request.previous_turn, until), True
-            reply = await node.shelf(request.program, {**command, 'has': True}, until)
+            reply = await node.call_store(request.program, {**command, 'has': True}, until)
         if conversation is None:
             conversation = b''.join(reply['chain'])
         return conversation, other_program
@@ -622,8 +622,8 @@
         node = self.node
         self.ctx.journal.count('turns.sought')
         calls = [
-            node.ask_part(partition, {'op': 'turn_find', 'previous': turn_id}, until)
-            for partition in sorted(node.seats)
+            node.call_partition(partition, {'op': 'turn_find', 'previous': turn_id}, until)
+            for partition in sorted(node.replica_sets)
         ]
         replies = await asyncio.gather(*calls, return_exceptions=True)
         for reply in replies:
@@ -636,7 +636,7 @@
     def settle_turn(self, request: Request, used_tokens: int) -> None:
         """Charge a turn that is not retained, and release its reservation, in the background."""
         self.node.spawn(
-            self.node.settle(
+            self.node.call_store_in_background(
                 request.program,
                 {
                     'op': 'turn_end',
@@ -658,7 +658,7 @@
     ) -> None:
         """Serve one turn: reserve its tokens, forward its events, resume it where allowed, and retain it."""
         clock, node = self.ctx.clock, self.node
-        run_id = node.fresh()
+        run_id = node.next_id()
         pool = self.choose_pool(route_name, request, route)
         task = self.admission_task(run_id, route_name, route, request, pool, start, deadline)
         if (route.get('keep') or request.token_budget is not None) and not request.request_id:
@@ -728,17 +728,17 @@
                     if not headers_sent:
                         headers_sent = True
                         await response.head(200, self.response_headers(exchange.headers))
-                    parser, first_chunk = Events(), True
+                    parser, first_chunk = EventStreamParser(), True
                     while True:
                         data = await watch.wait(exchange.data)
                         if data is None:
                             break
-                        events = parser.take(data)
+                        events = parser.feed(data)
                         if not events:
                             continue
                         prompt_tokens = request.prompt_tokens if first_chunk else 0
                         first_chunk = False
-                        node.tell(Credit(run_id, prompt_tokens + event_tokens * len(events)))
+                        node.post_event(Credit(run_id, prompt_tokens + event_tokens * len(events)))
                         for event in events:
                             if not may_follow(last_event_id, event.ident):
                                 self.ctx.journal.violated(
@@ -751,7 +751,7 @@
                             if retain:
                                 output.append((event.data or b'') + b'\n')
                         await response.write(b''.join(e.raw for e in events))
-                    if parser.left.strip():
+                    if parser.remainder.strip():
                         raise Fault('lost', 'the stream ended in the middle of an event')
                     self.report_health(replica, None)
                     self.silences[route_name] = usual_silence(self.silences.get(route_name), watch.longest)
@@ -768,13 +768,13 @@
                             raise
                     if sends >= MAX_SENDS or e.code == 'hopeless' or clock.now() >= deadline:
                         raise
-                    node.tell(Leave(run_id, forwarded * event_tokens))
-                    task, replica = await node.elsewhere(task, replica, response.gone, e)
+                    node.post_event(Leave(run_id, forwarded * event_tokens))
+                    task, replica = await node.readmit(task, replica, response.gone, e)
             duration = clock.now() - sent_at
             if retain:
                 data = (conversation if other_program else b'') + request.body + b''.join(output)
                 previous_turn = None if other_program else request.previous_turn
-                await node.shelf(
+                await node.call_store(
                     request.program,
                     {
                         'op': 'turn_end',
@@ -799,7 +799,7 @@
         finally:
             if exchange and not exchange.whole:
                 exchange.cut()
-            node.tell(
+            node.post_event(
                 Leave(run_id, request.prompt_tokens + forwarded * event_tokens if forwarded else 0, duration)
             )
             if reserved and not settled:
--- a/src/quillstall/dataplane/keyed.py
+++ b/src/quillstall/dataplane/keyed.py
@@ -53,7 +53,7 @@
         expires_at = (self.ctx.clock.wall() + retention).timestamp()
         command = {'op': 'once_begin', 'key': record_key, 'digest': '', 'run': run_id, 'until': expires_at}
         try:
-            reply = await self.node.shelf(
+            reply = await self.node.call_store(
                 record_key, command, start + (deadline - start) * STORE_WAIT_FRACTION
             )
         except Fault as e:
@@ -101,7 +101,7 @@
     def send_release(self, record_key: str, run_id: str) -> asyncio.Task:
         """Start a background task that records that this run never happens; return the task."""
         command = {'op': 'once_end', 'key': record_key, 'run': run_id, 'void': True}
-        return self.node.spawn(self.node.settle(record_key, command))
+        return self.node.spawn(self.node.call_store_in_background(record_key, command))
 
     async def save_response(self, record_key: str, run_id: str, response: CompleteResponse) -> None:
         """Store the response of an operation for its retries, and wait a bounded time for it.
@@ -115,5 +115,5 @@
             'run': run_id,
             'ret': [response.status, rows, response.body],
         }
-        work = self.node.spawn(self.node.settle(record_key, command))
+        work = self.node.spawn(self.node.call_store_in_background(record_key, command))
         await asyncio.wait((work,), timeout=STORE_WRITE_TIMEOUT.total_seconds())
