--- a/features/failures.feature
+++ b/features/failures.feature
@@ -1,7 +1,7 @@
-Feature: What must never happen does not, whatever fails
+Feature: The invariants hold under every kind of failure
 
-  Each history is a whole deployment under its traffic, with operators changing the policy all the
-  while, and the failures named; the judge holds it against every rule of the brief.
+  Each history is a whole deployment under its traffic, with operators who keep changing the policy, and the
+  named failures; the judge checks it against every rule of the requirements.
 
   Scenario Outline: <kind> at <deploy>, seed <seed>
     Given the deployment "<deploy>" in the simulator with seed <seed>
@@ -98,8 +98,8 @@
 
   Scenario: a backup that the primary cannot hear takes over
     Given the deployment "cartalume" in the simulator with seed 1
-    When the backup's returns to the primary are lost, and the primary's messages to the third
-    Then the core answers again within 5 seconds, with the backup as primary, after one take-over
+    When the backup's replies to the primary are lost, and the primary's messages to the third member
+    Then the core answers again within 5 seconds, with the backup as primary, after one failover
 
   Scenario Outline: the judge can fail: <way>
     Given the deployment "cartalume" in the simulator with seed <seed>
@@ -132,21 +132,21 @@
       | copy_nothing   | core_empty           | 1    | 2     | acknowledged    |
       | any_service    | crowd                | 1    | 1     | service         |
 
-  Scenario: a primary that wakes can answer nothing
+  Scenario: a primary that thaws after a failover can answer nothing
     Given the deployment "cartalume" in the simulator with seed 3
-    When the core's primary freezes, another takes over, and the first wakes and is asked at once
-    Then it answers neither a change nor a question with success, and the policy of the other stands
+    When the core's primary freezes, another takes over, and the first thaws and gets requests at once
+    Then it answers neither a write nor a read with success, and the policy of the other is in force
 
-  Scenario: a primary that wakes and hears no news can answer nothing either
+  Scenario: a primary that thaws after a failover and receives no updates can answer nothing either
     Given the deployment "cartalume" in the simulator with seed 3
     And a fleet that breaks a rule: "deaf"
-    When the core's primary freezes, another takes over, and the first wakes and is asked at once
-    Then it answers neither a change nor a question with success, and the policy of the other stands
+    When the core's primary freezes, another takes over, and the first thaws and gets requests at once
+    Then it answers neither a write nor a read with success, and the policy of the other is in force
 
   Scenario: the judge can fail: a backup that confirms an epoch that is over
     Given the deployment "cartalume" in the simulator with seed 3
     And a fleet that breaks a rule: "deaf_old_epoch"
-    When the core's primary freezes, another takes over, and the first wakes and is asked at once
+    When the core's primary freezes, another takes over, and the first thaws and gets requests at once
     Then two policies are acknowledged as one generation
 
   Scenario: an older generation that arrives late changes nothing
--- a/features/mechanisms.feature
+++ b/features/mechanisms.feature
@@ -1,4 +1,4 @@
-Feature: Each mechanism of deciding can be switched off by the policy, and then decides nothing
+Feature: Each admission mechanism can be switched off by the policy, and then has no effect
 
   Scenario Outline: the replica that is chosen, with <mechanism> on and off
     Given three replicas of a listed pool, "a" near, "b" and "c" in another zone, and <case>
@@ -6,9 +6,9 @@
 
     Examples:
       | mechanism     | on  | off   | case                                                             |
-      | predicted_end | a   | c     | one of our tasks on "a", and 6 of others on "b" and "c", of which "b" has one of ours |
-      | prompt_memory | c   | a     | a prompt that only "c" has read                                  |
-      | told_load     | b,c | a     | word that "a" runs 5 and waits for none                          |
+      | predicted_end | a   | c     | one task of this node on "a" and one on "b", and 6 of other nodes on "b" and on "c" |
+      | prompt_memory | c   | a     | a prompt that only "c" has cached                                |
+      | told_load     | b,c | a     | a report that "a" runs 5 and has none waiting                    |
       | set_aside     | b,c | a     | a failure of "a"                                                 |
       | zones         | a   | a,b,c | nothing else                                                     |
       | warmth        | b,c | a     | "a" just started                                                 |
--- a/features/steps/failures.py
+++ b/features/steps/failures.py
@@ -1,4 +1,4 @@
-"""Steps that cause failures in simulated deployments and hold the history against the rules."""
+"""Steps that cause failures and overload in simulated deployments and check the history against the rules."""
 
 import asyncio
 from contextlib import ExitStack
@@ -10,8 +10,8 @@
 
 from quillstall.controlplane import core_state
 from quillstall.dataplane.admission import reducer
-from quillstall.dataplane.admission.admission_state import Pool, Service, State, Task
-from quillstall.dataplane.admission.messages import Arrive, Leave, News, Word
+from quillstall.dataplane.admission.admission_state import Pool, ServiceTime, State, Task
+from quillstall.dataplane.admission.messages import Arrive, Decision, Leave, News
 from quillstall.runtime.effect import Tick
 from quillstall.testbed.explore import Trouble, explore
 from quillstall.testbed.rehearse import DEADLINE_MS, rehearse
@@ -20,52 +20,52 @@
 
 FIFO = {'newest_first_at': 9999, 'fifo_at': 0.99}
 SERVICE_S = 0.5
-CEILING = 60.0
+CEILING_PER_S = 60.0
 
 
 @given('a fleet that breaks a rule: "{way}"')
-def breaks(context, way):
+def rule_broken(context, way):
     context.stack = ExitStack()
     context.stack.enter_context(WAYS[way]())
     context.add_cleanup(context.stack.close)
 
 
 @when('"{kinds}" happens {count:d} times')
-def happens(context, kinds, count):
+def failures_happen(context, kinds, count):
     context.result = explore(context.seed, context.deploy, count, kinds.split(','))
 
 
-FOUND_AMONG = [  # the kinds there were when the seeds were found: with others a seed plays another history
+SEARCHED_KINDS = [  # the kinds from which the seeds were found: with more kinds a seed gives another history
     kind for kind in Trouble.kinds() if kind not in ('clock_step', 'leader_cuts')
 ]
 
 
 @when('any failures happen {count:d} times')
-def any_happen(context, count):
-    context.result = explore(context.seed, context.deploy, count, FOUND_AMONG)
+def any_failures_happen(context, count):
+    context.result = explore(context.seed, context.deploy, count, SEARCHED_KINDS)
 
 
 @then('policies were acknowledged meanwhile')
-def acked(context):
+def policies_acknowledged(context):
     assert context.result['acked'] >= 3, context.result['acked']
 
 
 @then('the judge finds "{finding}"')
-def finds(context, finding):
-    hits = [w for w in context.result['wrong'] if f' {finding}:' in f' {w}']
-    assert hits, context.result['wrong'][:5]
+def judge_finds(context, finding):
+    found = [text for text in context.result['wrong'] if f' {finding}:' in f' {text}']
+    assert found, context.result['wrong'][:5]
 
 
 @then('at most {count:d} pieces of work were refused for want of a lease')
-def few_lease(context, count):
+def few_refused_without_lease(context, count):
     counts = context.result['report']['counts']
     refused = sum(n for k, n in counts.items() if k.endswith('refused.no_lease'))
     good = sum(n for k, n in counts.items() if k.endswith('.good'))
     assert refused <= count and good > 500, counts
 
 
-@when("the backup's returns to the primary are lost, and the primary's messages to the third")
-def ring(context):
+@when("the backup's replies to the primary are lost, and the primary's messages to the third member")
+def replies_lost(context):
     async def script(town):
         await town.open()
         status = await town.status()
@@ -74,27 +74,27 @@
         town.world.cut(second, first, False)
         town.world.cut(first, third, False)
         await town.world.sleep(5)
-        now = town.hosts[second].state
+        after_5s = town.hosts[second].state
         await town.world.sleep(10)
-        later = town.hosts[second].state
+        after_15s = town.hosts[second].state
         return (
             second,
-            [core_state.primary(s) for s in (now, later)],
-            [core_state.copy_of(s).seat for s in (now, later)],
+            [core_state.primary(s) for s in (after_5s, after_15s)],
+            [core_state.copy_of(s).seat for s in (after_5s, after_15s)],
         )
 
-    context.ring = play(context.seed, context.deploy, script)
+    context.observed = play(context.seed, context.deploy, script)
 
 
-@then('the core answers again within 5 seconds, with the backup as primary, after one take-over')
-def took_over(context):
-    second, led, seats = context.ring
-    assert led == [True, True], (led, seats)
+@then('the core answers again within 5 seconds, with the backup as primary, after one failover')
+def backup_took_over(context):
+    second, is_primary, seats = context.observed
+    assert is_primary == [True, True], (is_primary, seats)
     assert seats[0] == seats[1] and seats[0].base == 1 and seats[0].primary.startswith(second), seats
 
 
-@when("the core's primary freezes, another takes over, and the first wakes and is asked at once")
-def wakes(context):
+@when("the core's primary freezes, another takes over, and the first thaws and gets requests at once")
+def primary_thaws(context):
     async def script(town):
         await town.open()
         status = await town.status()
@@ -104,92 +104,97 @@
         town.world.freeze(town.machines[old])
         await town.world.sleep(4)
         other = next(n for n in range(3) if n != at and doors[n])
-        won = None
+        generation = None
         for n in range(3):
-            if n != at and won is None:
+            if n != at and generation is None:
                 status, body = await town.ask('PATCH', '/v1/policy', {'keeping_s': 400}, at=n)
-                won = body['generation'] if status == 200 else won
+                generation = body['generation'] if status == 200 else generation
         town.world.thaw(town.machines[old])
-        asked = [
+        requests = [
             asyncio.ensure_future(
                 town.ask('PATCH', '/v1/policy', {'keeping_s': 500}, {'If-Match': '"1"'}, at=at)
             ),
             asyncio.ensure_future(town.ask('GET', '/v1/policy', at=at)),
         ]
-        answers = [await a for a in asked]
+        answers = [await request for request in requests]
         await town.world.sleep(3)
         shown = await town.ask('GET', '/v1/policy', at=other)
-        return won, answers, shown
+        return generation, answers, shown
 
-    context.woke = play(context.seed, context.deploy, script)
+    context.observed = play(context.seed, context.deploy, script)
 
 
-@then('it answers neither a change nor a question with success, and the policy of the other stands')
-def nothing(context):
-    won, answers, shown = context.woke
-    assert won == 2, won
+@then('it answers neither a write nor a read with success, and the policy of the other is in force')
+def nothing_succeeds(context):
+    generation, answers, shown = context.observed
+    assert generation == 2, generation
     assert answers[0][0] >= 400, answers[0]
-    seen = answers[1][1]
-    assert answers[1][0] >= 400 or seen['generation'] == won, answers[1]  # or handed over to the new one
-    assert shown[1]['generation'] == won and shown[1]['policy']['keeping_s'] == 400
+    read = answers[1][1]
+    assert answers[1][0] >= 400 or read['generation'] == generation, answers[
+        1
+    ]  # or forwarded to the new primary
+    assert shown[1]['generation'] == generation and shown[1]['policy']['keeping_s'] == 400
 
 
 @then('two policies are acknowledged as one generation')
-def doubled(context):
-    won, answers, _ = context.woke
-    assert won == 2 and answers[0][0] == 200 and answers[0][1]['generation'] == won, (won, answers[0])
+def acknowledged_twice(context):
+    generation, answers, _ = context.observed
+    assert generation == 2 and answers[0][0] == 200 and answers[0][1]['generation'] == generation, (
+        generation,
+        answers[0],
+    )
 
 
 # ---- overload
 
 
 @lru_cache
-def played(seed, per_s, order, asked_ms=None):
+def overload_run(seed, per_s, order, asked_ms=None):
     return rehearse(seed, per_s, rules=FIFO if order == 'fifo' else None, asked_ms=asked_ms)
 
 
-@given('the ceiling that a steady load finds, seed {seed:d}')
-def ceiling(context, seed):
+@given('the ceiling under a steady load, seed {seed:d}')
+def steady_load(context, seed):
     context.seed = seed
-    context.ceiling = played(seed, CEILING, 'newest')['good_per_s']
+    context.ceiling = overload_run(seed, CEILING_PER_S, 'newest')['good_per_s']
     assert context.ceiling > 40
 
 
 @when('{times:d} times the ceiling is offered for 8 seconds')
-def offered(context, times):
-    context.result = played(context.seed, CEILING * times, 'newest')
+def overload_offered(context, times):
+    context.result = overload_run(context.seed, CEILING_PER_S * times, 'newest')
     assert context.result['offered'] > context.ceiling * 8 * times * 0.8
     assert context.result['wrong'] == [], context.result['wrong'][:3]
 
 
 @then(
-    'refusing begins when the work before the oldest and the time it has waited fill its deadline less its service'
+    'refusals begin when the pending work and the wait of the oldest task together fill the deadline less the service time'
 )
-def begins(context):
+def refusals_begin(context):
     bound = DEADLINE_MS / 1000 - SERVICE_S
     assert 0.85 * bound <= context.result['first_refusal_span_s'] <= 1.15 * bound, context.result
 
 
-@then('{part:d} of 100 of all refusals come within {most:d} ms, and none after the deadline')
-def at_once(context, part, most):
+@then('{percent:d} of 100 of all refusals come within {limit_ms:d} ms, and none after the deadline')
+def refusals_come_early(context, percent, limit_ms):
     waits = sorted(context.result['waits'])
     assert len(waits) > 100 and len(waits) == context.result['refused'], len(waits)
-    assert waits[int(len(waits) * part / 100)] <= most, waits[::50]
+    assert waits[int(len(waits) * percent / 100)] <= limit_ms, waits[::50]
     assert max(waits) <= DEADLINE_MS, max(waits)
 
 
-@then('the pending work is never deeper than the deadline')
-def bounded(context):
+@then('the pending work never exceeds what drains within the deadline')
+def pending_bounded(context):
     assert context.result['most_depth_s'] <= DEADLINE_MS / 1000 * 1.1, context.result['most_depth_s']
 
 
-@then('nothing is pending 3 s after the load')
-def gone(context):
+@then('nothing is pending 3 s after the load ends')
+def pending_drained(context):
     assert context.result['gone_after_s'] is not None and context.result['gone_after_s'] <= 3
 
 
 @then('goodput is at least 90 of 100 of the ceiling')
-def holds(context):
+def goodput_near_ceiling(context):
     assert context.result['good_per_s'] >= 0.9 * context.ceiling, (
         context.result['good_per_s'],
         context.ceiling,
@@ -197,61 +202,64 @@
 
 
 @then('no tokens are spent on abandoned work')
-def none_spent(context):
+def no_tokens_abandoned(context):
     assert context.result['abandoned_tokens'] == 0, context.result['abandoned_tokens']
 
 
-@then('less than 5 of 100 slots stand idle meanwhile')
-def busy(context):
+@then('less than 5 of 100 slots are idle meanwhile')
+def few_slots_idle(context):
     assert context.result['idle_part'] < 0.05, context.result['idle_part']
 
 
 @when('4 times the ceiling is offered with newest-first and with first-in-first-out')
-def orders(context):
-    context.newest, context.fifo = played(2, CEILING * 4, 'newest'), played(2, CEILING * 4, 'fifo')
+def both_orders(context):
+    context.newest, context.fifo = (
+        overload_run(2, CEILING_PER_S * 4, 'newest'),
+        overload_run(2, CEILING_PER_S * 4, 'fifo'),
+    )
 
 
-@then('the median answer of newest-first is at least 2 times as fast')
-def faster(context):
+@then('the median answer time of newest-first is at most half of first-in-first-out')
+def newest_first_faster(context):
     assert context.newest['good_ms']['p50'] * 2 <= context.fifo['good_ms']['p50']
 
 
-@then('both hold their goodput')
-def both(context):
-    assert min(context.newest['good_per_s'], context.fifo['good_per_s']) >= 0.85 * CEILING
+@then('both keep their goodput')
+def both_keep_goodput(context):
+    assert min(context.newest['good_per_s'], context.fifo['good_per_s']) >= 0.85 * CEILING_PER_S
 
 
-@when('4 times the ceiling is offered with admission and, first-in-first-out, without')
-def without(context):
-    context.with_it = played(2, CEILING * 4, 'newest')
-    context.without = played(2, CEILING * 4, 'fifo', 60_000)
+@when('4 times the ceiling is offered with admission, and without it first-in-first-out')
+def with_and_without_admission(context):
+    context.with_admission = overload_run(2, CEILING_PER_S * 4, 'newest')
+    context.without_admission = overload_run(2, CEILING_PER_S * 4, 'fifo', 60_000)
 
 
-@then('goodput without is at most half of goodput with')
-def rots(context):
-    assert context.without['good_per_s'] * 2 <= context.with_it['good_per_s'], (
-        context.without['good_per_s'],
-        context.with_it['good_per_s'],
+@then('goodput without admission is at most half of goodput with it')
+def goodput_collapses(context):
+    assert context.without_admission['good_per_s'] * 2 <= context.with_admission['good_per_s'], (
+        context.without_admission['good_per_s'],
+        context.with_admission['good_per_s'],
     )
 
 
-@then('the pending work without is at least 5 times as deep')
-def deep(context):
-    assert context.without['most_depth_s'] >= 5 * context.with_it['most_depth_s']
+@then('the pending work without admission is at least 5 times as deep')
+def pending_grows(context):
+    assert context.without_admission['most_depth_s'] >= 5 * context.with_admission['most_depth_s']
 
 
 @when('4 times the ceiling is offered first-in-first-out')
 def fifo_only(context):
-    context.result = rehearse(2, CEILING * 4, rules=FIFO)
+    context.result = rehearse(2, CEILING_PER_S * 4, rules=FIFO)
 
 
 @then('tokens are spent on abandoned work, and the judge finds "{finding}"')
-def spent(context, finding):
+def tokens_abandoned(context, finding):
     assert context.result['abandoned_tokens'] > 0
-    finds(context, finding)
+    judge_finds(context, finding)
 
 
-# ---- a reducer by itself
+# ---- the reducer of admission without a fleet
 
 T0 = datetime(2026, 1, 1, tzinfo=UTC)
 
@@ -267,37 +275,44 @@
         policy=policy,
         generation=1,
         lease=T0 + timedelta(hours=1),
-        allot={'r': 8},
-        service=Map({'q': Service(10.0, 1.0)}),
+        allocation={'r': 8},
+        service_times=Map({'q': ServiceTime(10.0, 1.0)}),
     )
 
 
-def arrive(context, name, hold=100):
+def arrive(context, name, reserved_tokens=100):
     task = Task(
-        name, 'q', 'c', 'p', hold, context.at + timedelta(seconds=3), context.at, prior=timedelta(seconds=0.5)
+        name,
+        'q',
+        'c',
+        'p',
+        reserved_tokens,
+        context.at + timedelta(seconds=3),
+        context.at,
+        prior_service_time=timedelta(seconds=0.5),
     )
     context.state, effects = reducer.step(context.state, Arrive(task), context.at)
-    return [e for e in effects if isinstance(e, Word)]
+    return [e for e in effects if isinstance(e, Decision)]
 
 
-@given('a routing node whose route has lately taken 10 s of a deadline of 3 s')
-def was_slow(context):
+@given('a routing node whose route has recently taken 10 s, with a deadline of 3 s')
+def slow_route_node(context):
     context.state, context.at = slow_route(), T0
 
 
 @when('a task of it arrives, and another while the first runs')
-def two_arrive(context):
-    context.words = arrive(context, 'one') + arrive(context, 'two')
+def two_tasks_arrive(context):
+    context.decisions = arrive(context, 'one') + arrive(context, 'two')
 
 
 @then('the first is sent on trial and the other refused at once')
-def trial(context):
-    first, second = context.words
-    assert first.replica == 'r' and second.fault and second.fault['fault'] == 'shed', context.words
+def first_on_trial(context):
+    first, second = context.decisions
+    assert first.replica == 'r' and second.fault and second.fault['fault'] == 'shed', context.decisions
 
 
 @when('such trials take 0.4 s, one after another')
-def trials(context):
+def trials_succeed(context):
     context.trials = 0
     name = 'one'
     while context.trials < 100:
@@ -305,17 +320,17 @@
         context.state, _ = reducer.step(context.state, Leave(name, 100, timedelta(seconds=0.4)), context.at)
         context.trials += 1
         name = f't{context.trials}'
-        sent = [bool(w.replica) for w in arrive(context, name) + arrive(context, f'{name}b')]
+        sent = [bool(d.replica) for d in arrive(context, name) + arrive(context, f'{name}b')]
         if sent == [True, True]:
             return
 
 
 @then('after at most {count:d} of them two tasks are sent at once again')
-def recovered(context, count):
+def route_recovered(context, count):
     assert context.trials <= count, context.trials
 
 
-def news(generation):
+def core_update(generation):
     policy = {'classes': {}, 'pools': {}, 'routes': {}, 'services': {}}
     return News(
         {'epoch': 1, 'generation': generation, 'policy': policy, 'leaving': [], 'live': 1, 'allot': {}},
@@ -324,30 +339,30 @@
 
 
 @given('a routing node that has generation 5 in force')
-def has_five(context):
-    context.state, _ = reducer.step(State(), news(5), T0)
+def generation_five(context):
+    context.state, _ = reducer.step(State(), core_update(5), T0)
 
 
 @when('generation 4 arrives late')
-def four_late(context):
-    context.state, _ = reducer.step(context.state, news(4), T0)
+def generation_four_late(context):
+    context.state, _ = reducer.step(context.state, core_update(4), T0)
 
 
 @then('generation {generation:d} is in force')
-def this_in_force(context, generation):
+def generation_in_force(context, generation):
     assert context.state.generation == generation, context.state.generation
 
 
 @given('a routing node that has measured a hundredth of its true rate')
-def low_rate(context):
-    state = slow_route()._replace(service=Map())
+def rate_too_low(context):
+    state = slow_route()._replace(service_times=Map())
     context.state = state._replace(pools=Map({'p': Pool('p', slot_rate=100 / 0.4 / 100)}))
 
 
-@when('tasks of 0.4 s come twice as fast as its slots take them, for 20 s')
-def twice_as_fast(context):
-    context.at, context.busy, ends = T0, [], []
-    for n in range(400):  # 50 ms each; 8 slots of 0.4 s take one in each
+@when('tasks of 0.4 s arrive at twice the capacity of its slots, for 20 s')
+def twice_the_capacity(context):
+    context.at, context.busy_slots, ends = T0, [], []
+    for n in range(400):  # steps of 50 ms; 8 slots of 0.4 s take one task in each
         context.at += timedelta(milliseconds=50)
         for name, end in list(ends):
             if end <= context.at:
@@ -358,67 +373,71 @@
                 ends += [
                     (e.name, context.at + timedelta(seconds=0.4))
                     for e in effects
-                    if isinstance(e, Word) and e.replica
+                    if isinstance(e, Decision) and e.replica
                 ]
-        for part in 'ab':
+        for suffix in 'ab':
             ends += [
-                (w.name, context.at + timedelta(seconds=0.4))
-                for w in arrive(context, f'{n}{part}')
-                if w.replica
+                (d.name, context.at + timedelta(seconds=0.4))
+                for d in arrive(context, f'{n}{suffix}')
+                if d.replica
             ]
         context.state, effects = reducer.step(context.state, Tick(), context.at)
         ends += [
             (e.name, context.at + timedelta(seconds=0.4))
             for e in effects
-            if isinstance(e, Word) and e.replica
+            if isinstance(e, Decision) and e.replica
         ]
-        context.busy.append(context.state.used.get('r', 0))
+        context.busy_slots.append(context.state.used_slots.get('r', 0))
 
 
 @then('in the last 5 s every slot is busy')
-def all_busy(context):
-    assert min(context.busy[-100:]) >= 7, context.busy[::20]
+def all_slots_busy(context):
+    assert min(context.busy_slots[-100:]) >= 7, context.busy_slots[::20]
 
 
 @given('a routing node whose slots drain {rate:d} tokens a second')
-def drains(context, rate):
+def known_rate(context, rate):
     context.state, context.at = (
-        slow_route()._replace(service=Map(), pools=Map({'p': Pool('p', slot_rate=rate / 8)})),
+        slow_route()._replace(service_times=Map(), pools=Map({'p': Pool('p', slot_rate=rate / 8)})),
         T0,
     )
 
 
-@when('tasks of {hold:d} tokens, a deadline of 3 s and a service of 0.5 s come all at once')
-def all_at_once(context, hold):
-    context.hold, context.words = hold, [arrive(context, f'{n}', hold) for n in range(200)]
+@when('tasks of {tokens:d} tokens, a deadline of 3 s and a service time of 0.5 s arrive all at once')
+def all_arrive_at_once(context, tokens):
+    context.task_tokens, context.decisions = tokens, [arrive(context, f'{n}', tokens) for n in range(200)]
 
 
-@then('8 are sent, those whose wait and service fit the deadline wait, and each one more is refused at once')
-def bound_holds(context):
-    sent = [w for words in context.words for w in words if w.replica]
-    first = next(n for n, words in enumerate(context.words) if words and words[0].fault)
+@then(
+    '8 are sent, those whose wait and service fit into the deadline wait, and all others are refused at once'
+)
+def queue_bound_holds(context):
+    sent = [d for decisions in context.decisions for d in decisions if d.replica]
+    first = next(n for n, decisions in enumerate(context.decisions) if decisions and decisions[0].fault)
     rate = context.state.pools['p'].slot_rate * 8
-    fit = int((3 - 0.5) * rate / context.hold)
-    assert len(sent) == 8 and first == 8 + fit, (len(sent), first, fit)
-    later = [words[-1].fault for words in context.words[first:]]
-    assert all(f and f['fault'] == 'shed' and f['wait_ms'] > 0 for f in later), later[:2]
+    queued = int((3 - 0.5) * rate / context.task_tokens)
+    assert len(sent) == 8 and first == 8 + queued, (len(sent), first, queued)
+    faults = [decisions[-1].fault for decisions in context.decisions[first:]]
+    assert all(f and f['fault'] == 'shed' and f['wait_ms'] > 0 for f in faults), faults[:2]
 
 
-@given('a routing node whose slots are full and whose line holds two tasks')
+@given('a routing node with all slots in use and two pending tasks')
 def full_node(context):
-    context.state, context.at = slow_route()._replace(service=Map()), T0
-    words = [w for n in range(10) for w in arrive(context, f'{n}')]
-    assert [bool(w.replica) for w in words] == [True] * 8, words
+    context.state, context.at = slow_route()._replace(service_times=Map()), T0
+    decisions = [d for n in range(10) for d in arrive(context, f'{n}')]
+    assert [bool(d.replica) for d in decisions] == [True] * 8, decisions
 
 
-@when('the caller of the first leaves')
-def first_leaves(context):
+@when('the caller of the first disconnects')
+def first_disconnects(context):
     context.state, _ = reducer.step(context.state, Leave('8'), context.at)
 
 
-@then('only the second waits, and it is sent when a slot comes free')
-def second_sent(context):
+@then('only the second waits, and it is sent when a slot becomes free')
+def second_is_sent(context):
     pool = context.state.pools['p']
-    assert [t.name for t in pool.pending['c']] == ['9'] and pool.queued == pool.tokens['c'] == 100, pool
+    assert [t.name for t in pool.pending['c']] == ['9'] and pool.pending_tokens == pool.tokens_by_class[
+        'c'
+    ] == 100, pool
     context.state, effects = reducer.step(context.state, Leave('0', 100, timedelta(seconds=0.4)), context.at)
-    assert [(w.name, w.replica) for w in effects if isinstance(w, Word)] == [('9', 'r')], effects
+    assert [(e.name, e.replica) for e in effects if isinstance(e, Decision)] == [('9', 'r')], effects
--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -59,16 +59,16 @@
     context.meant_violations = ('slots_balance',)
 
     def twice(step, state, happening, now):
-        run = state.runs[happening.name]
+        run = state.running_tasks[happening.name]
         again, _ = step(state, happening, now)
-        return again._replace(used=again.used.set(run.replica, -1)), ()
+        return again._replace(used_slots=again.used_slots.set(run.replica, -1)), ()
 
     break_step(context, Leave, twice)
     story = context.story
     story.run(story.ask('/any/x'))
     story.run(until(lambda: context.violations))
     node = story.nodes[0]
-    node.state = node.state._replace(used=Map())
+    node.state = node.state._replace(used_slots=Map())
 
 
 class MistakenRoute(dict):
--- a/features/steps/mechanisms.py
+++ b/features/steps/mechanisms.py
@@ -1,4 +1,4 @@
-"""Steps about the mechanisms of deciding and their switches, on the reducer of admission."""
+"""Steps on the admission mechanisms and their switches, run on the reducer of admission."""
 
 import json
 from datetime import UTC, datetime, timedelta
@@ -9,8 +9,8 @@
 
 from quillstall.configuration.policy import MECHANISMS, check
 from quillstall.dataplane.admission import choice, reducer, waiting
-from quillstall.dataplane.admission.admission_state import Pool, Service, State, Task
-from quillstall.dataplane.admission.messages import Health, Load, Word
+from quillstall.dataplane.admission.admission_state import Pool, ServiceTime, State, Task
+from quillstall.dataplane.admission.messages import Decision, Health, Load
 from quillstall.dataplane.gateway import Gateway
 from quillstall.runtime.clock import ms, of_ms
 from quillstall.runtime.effect import Tick
@@ -18,7 +18,7 @@
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
 POOL = 'p'
 SLOTS = 8
-PROMPT = 14_000
+PROMPT_TOKENS = 14_000
 
 
 def policy(mechanism, on):
@@ -36,20 +36,20 @@
 
 
 def prepare(case, state):
-    """The state and the unread tokens of a case."""
-    unread = {}
-    if case.startswith('one of our tasks'):
-        state = state._replace(used=Map({'a': 1, 'b': 1}))
-        state = state._replace(others=Map({'b': (6.0, NOW), 'c': (6.0, NOW)}))
+    """Return the state and the uncached tokens of a case."""
+    uncached_tokens = {}
+    if case.startswith('one task of this node'):
+        state = state._replace(used_slots=Map({'a': 1, 'b': 1}))
+        state = state._replace(other_load=Map({'b': (6.0, NOW), 'c': (6.0, NOW)}))
     elif case.startswith('a prompt'):
-        unread = {'a': PROMPT, 'b': PROMPT}
-    elif case.startswith('word that'):
+        uncached_tokens = {'a': PROMPT_TOKENS, 'b': PROMPT_TOKENS}
+    elif case.startswith('a report that'):
         state, _ = reducer.step(state, Load('a', 5, 0, SLOTS), NOW)
     elif case.startswith('a failure'):
         state, _ = reducer.step(state, Health('a', False), NOW)
     elif case.endswith('just started'):
         state = state._replace(listing=listing(cold=('a',)))
-    return state, unread
+    return state, uncached_tokens
 
 
 @given('three replicas of a listed pool, "a" near, "b" and "c" in another zone, and {case}')
@@ -58,31 +58,42 @@
 
 
 def chosen(case, mechanism, on):
-    """The replicas that 40 tasks would go to."""
+    """Return the replicas that 40 tasks would go to."""
     state = State(policy=policy(mechanism, on), listing=listing(), lease=NOW + timedelta(seconds=9))
-    state, unread = prepare(case, state)
+    state, uncached_tokens = prepare(case, state)
     deadline = NOW + timedelta(seconds=4)
     tasks = [
-        Task(f't{n}', 'r', 'c', POOL, PROMPT, deadline, NOW, unread=unread, zone='near') for n in range(40)
+        Task(
+            f't{n}',
+            'r',
+            'c',
+            POOL,
+            PROMPT_TOKENS,
+            deadline,
+            NOW,
+            uncached_tokens=uncached_tokens,
+            zone='near',
+        )
+        for n in range(40)
     ]
     return sorted({choice.assign(state, task, NOW) for task in tasks})
 
 
 @then('with "{mechanism}" on 40 tasks would go to "{on}", and off to "{off}"')
-def goes_to(context, mechanism, on, off):
+def tasks_go_to(context, mechanism, on, off):
     assert chosen(context.case, mechanism, True) == on.split(','), chosen(context.case, mechanism, True)
     assert chosen(context.case, mechanism, False) == off.split(','), chosen(context.case, mechanism, False)
 
 
 @given('more pending work of one class than its deadline leaves time for, with "{mechanism}" {switch}')
-def deep(context, mechanism, switch):
+def deep_queue(context, mechanism, switch):
     deadline = NOW + timedelta(seconds=30)
-    line = tuple(Task(f't{n}', 'r', 'c', POOL, 1000, deadline, NOW) for n in range(4))
+    queue = tuple(Task(f't{n}', 'r', 'c', POOL, 1000, deadline, NOW) for n in range(4))
     pool = Pool(
         POOL,
-        pending=Map({'c': line}),
-        tokens=Map({'c': 4000}),
-        queued=4000,
+        pending=Map({'c': queue}),
+        tokens_by_class=Map({'c': 4000}),
+        pending_tokens=4000,
         slot_rate=1000.0 / SLOTS / 3,
     )
     state = State(
@@ -97,39 +108,41 @@
 
 @then('the {which} of two that could still be served goes first')
 def goes_first(context, which):
-    sent = [e.name for e in context.effects if type(e) is Word and e.replica]
+    sent = [e.name for e in context.effects if type(e) is Decision and e.replica]
     assert sent[0] == ('t3' if which == 'newest' else 't0'), sent
 
 
 @given(
-    'a gateway that expects an answer after {expects:d} ms and has {has:d} ms, with "{mechanism}" {switch}'
+    'a gateway that expects an answer after {expected:d} ms and has {left:d} ms, with "{mechanism}" {switch}'
 )
-def patient(context, expects, has, mechanism, switch):
-    state = State(policy=policy(mechanism, switch == 'on'), service=Map({'r': Service(expects / 1000, 0.0)}))
+def patience(context, expected, left, mechanism, switch):
+    state = State(
+        policy=policy(mechanism, switch == 'on'), service_times=Map({'r': ServiceTime(expected / 1000, 0.0)})
+    )
     gateway = SimpleNamespace(
         node=SimpleNamespace(state=state), ctx=SimpleNamespace(clock=SimpleNamespace(now=lambda: NOW))
     )
     task = Task('t', 'r', 'c', POOL, 1, None, NOW)
-    context.span = Gateway.patience(gateway, task, NOW + of_ms(has)) - NOW
+    context.wait = Gateway.patience(gateway, task, NOW + of_ms(left)) - NOW
 
 
 @then('it asks another replica after {span:d} ms')
 def asks_after(context, span):
-    assert ms(context.span) == span, context.span
+    assert ms(context.wait) == span, context.wait
 
 
 @given('a policy whose mechanisms are {value}')
-def odd_policy(context, value):
+def policy_with_mechanisms(context, value):
     context.policy = {'classes': {}, 'routes': {}, 'pools': {}, 'mechanisms': json.loads(value)}
 
 
 @then('its one finding is "{finding}"')
 def one_finding(context, finding):
-    assert [f'{place} {text}' for place, text in check(context.policy)] == [finding], check(context.policy)
+    assert [f'{path} {text}' for path, text in check(context.policy)] == [finding], check(context.policy)
 
 
 @then('a policy that switches off any one mechanism has no finding')
-def any_one_off(context):
+def each_mechanism_off(context):
     for mechanism in MECHANISMS:
         switched = {'classes': {}, 'routes': {}, 'pools': {}, 'mechanisms': {mechanism: False}}
         assert check(switched) == [], (mechanism, check(switched))
--- a/features/steps/stalls.py
+++ b/features/steps/stalls.py
@@ -1,4 +1,4 @@
-"""Steps about replicas that hang, and about failures that several nodes saw."""
+"""Steps on hanging replicas, and on failures that several nodes report."""
 
 import asyncio
 from datetime import UTC, datetime, timedelta
@@ -12,7 +12,7 @@
 from quillstall.controlplane import pooled_failures
 from quillstall.controlplane.core_state import Node as RoutingNode
 from quillstall.dataplane.admission import choice, reducer, replica_health
-from quillstall.dataplane.admission.admission_state import Down, State, Task
+from quillstall.dataplane.admission.admission_state import Ejection, State, Task
 from quillstall.dataplane.admission.messages import Health
 from quillstall.dataplane.stalls import StallWatch
 from quillstall.runtime.clock import of_ms
@@ -23,13 +23,13 @@
 
 T0 = datetime(2026, 1, 1, tzinfo=UTC)
 SEED = 8
-LEARNT_TURNS = 4
+MEASURED_TURNS = 4
 
 
 @given('streams of its routes are never silent for long')
-def learnt(context):
+def silences_measured(context):
     for path in ('/line/x', '/turn/x'):
-        for _ in range(LEARNT_TURNS):
+        for _ in range(MEASURED_TURNS):
             assert asked(context, path).status == 200
     context.story.runs.clear()
 
@@ -42,7 +42,7 @@
 
 
 @when('"{path}" is asked while the first replica stays silent')
-def first_silent(context, path):
+def first_replica_silent(context, path):
     story = context.story
     story.plan.append('silent')
     start = story.clock.now()
@@ -51,19 +51,19 @@
 
 
 @when('"{path}" is asked with {span:d} ms while its replica stays silent')
-def its_silent(context, path, span):
-    all_silent(context, path, 1, span)
+def its_replica_silent(context, path, span):
+    all_replicas_silent(context, path, 1, span)
 
 
 @when('"{path}" is asked {count:d} times at once with {span:d} ms while all replicas stay silent')
-def all_silent(context, path, count, span):
+def all_replicas_silent(context, path, count, span):
     story = context.story
     story.plan.extend(['silent'] * count)
     context.ident = 'silent-1'
 
-    async def begin():
+    async def send_all():
         for n in range(count):
-            talk = await story.begin(
+            request = await story.begin(
                 path,
                 ident=f'silent-{n + 1}',
                 **(
@@ -72,14 +72,14 @@
                     else {}
                 ),
             )
-            context.talks.append(asyncio.ensure_future(talk.rest()))
+            context.answers.append(asyncio.ensure_future(request.rest()))
 
-    context.talks = []
-    story.run(begin())
+    context.answers = []
+    story.run(send_all())
 
 
-def down(context):
-    return sorted(context.story.nodes[0].state.down)
+def ejected(context):
+    return sorted(context.story.nodes[0].state.ejections)
 
 
 @then('the answer is whole within {span:d} ms')
@@ -88,34 +88,34 @@
     assert context.took <= of_ms(span), context.took
 
 
-@then('one replica is set aside')
-def one_aside(context):
-    assert len(down(context)) == 1, down(context)
+@then('one replica is ejected')
+def one_ejected(context):
+    assert len(ejected(context)) == 1, ejected(context)
 
 
-@then('one replica is set aside within {span:d} ms')
-def aside_within(context, span):
-    context.story.run(until(lambda: down(context), span / 1000))
+@then('one replica is ejected within {span:d} ms')
+def ejected_within(context, span):
+    context.story.run(until(lambda: ejected(context), span / 1000))
     context.story.run(asyncio.sleep(0.3))
-    assert len(down(context)) == 1, down(context)
+    assert len(ejected(context)) == 1, ejected(context)
     finish(context)
 
 
-@then('no replica is set aside within {span:d} ms')
-def none_aside(context, span):
+@then('no replica is ejected within {span:d} ms')
+def none_ejected(context, span):
     context.story.run(asyncio.sleep(span / 1000))
-    assert not down(context), down(context)
+    assert not ejected(context), ejected(context)
     finish(context)
 
 
 def finish(context):
-    async def ends():
-        return await asyncio.gather(*context.talks)
+    async def answers():
+        return await asyncio.gather(*context.answers)
 
-    context.got = context.story.run(ends())[0]
+    context.got = context.story.run(answers())[0]
 
 
-# ---- the watch alone
+# ---- the stall watch without a node
 
 
 class LateClock:
@@ -139,28 +139,28 @@
 
 
 @when('nothing has come at the limit and the clock is {late:d} ms past it')
-def nothing_came(context, late):
-    waits = []
+def nothing_received(context, late):
+    limits = []
 
-    async def ask(span):
-        waits.append(span)
-        if len(waits) > 1:
+    async def receive(limit):
+        limits.append(limit)
+        if len(limits) > 1:
             return b'data'
-        context.clock.at += span + of_ms(late)
+        context.clock.at += limit + of_ms(late)
         raise Fault('slow', 'silent')
 
-    assert asyncio.run(context.watch.wait(ask)) == b'data'
+    assert asyncio.run(context.watch.wait(receive)) == b'data'
 
 
-@then('the replica is {told} as stalled')
-def told_as_stalled(context, told):
-    assert len(context.reports) == (told == 'reported'), context.reports
+@then('the replica is {reported} as stalled')
+def reported_as_stalled(context, reported):
+    assert len(context.reports) == (reported == 'reported'), context.reports
 
 
-# ---- several nodes together, simulated
+# ---- several nodes, simulated
 
 
-@given('a simulated fleet whose callers come')
+@given('a simulated fleet under load')
 def simulated(context):
     context.deploy = cartalume()
 
@@ -176,19 +176,19 @@
     return World.play(SEED, main)
 
 
-async def when_met(town, met, seconds):
-    """How long it takes until a condition holds; None if it does not in time."""
+async def time_until(town, condition, seconds):
+    """Return the seconds until a condition holds, None if it does not hold in time."""
     for n in range(int(seconds * 20)):
-        if met():
+        if condition():
             return n / 20
         await town.sleep(0.05)
     return None
 
 
-def leave_alone(town, replica):
-    """The routing nodes that leave a replica alone, and of these the ones that failed with it themselves."""
-    alone = [n for n in town.nodes() if replica in n.state.shunned]
-    return alone, [n for n in alone if replica in n.state.down]
+def nodes_ejecting(town, replica):
+    """Return the routing nodes on which a replica is ejected, and those of them on which it failed."""
+    ejecting = [n for n in town.nodes() if replica in n.state.ejected_by_core]
+    return ejecting, [n for n in ejecting if replica in n.state.ejections]
 
 
 @when('a model replica is killed')
@@ -197,29 +197,33 @@
 
     async def script(town):
         town.world.kill(town.machines[replica])
-        took = await when_met(town, lambda: len(leave_alone(town, replica)[0]) == len(town.nodes()), 3)
-        failed = len(leave_alone(town, replica)[1])
+        ejected_s = await time_until(
+            town, lambda: len(nodes_ejecting(town, replica)[0]) == len(town.nodes()), 3
+        )
+        failed = len(nodes_ejecting(town, replica)[1])
         town.start(replica)
-        back = await when_met(town, lambda: not leave_alone(town, replica)[0], 12)
-        return SimpleNamespace(took=took, failed=failed, nodes=len(town.nodes()), back=back)
+        recovered_s = await time_until(town, lambda: not nodes_ejecting(town, replica)[0], 12)
+        return SimpleNamespace(
+            ejected_s=ejected_s, failed=failed, nodes=len(town.nodes()), recovered_s=recovered_s
+        )
 
-    context.seen = play(context, script)
+    context.observed = play(context, script)
 
 
-@then('within 3 s every routing node leaves it alone, though not every one has failed with it')
-def all_leave(context):
-    assert context.seen.took is not None, context.seen
-    assert 2 <= context.seen.failed < context.seen.nodes, context.seen
+@then('within 3 s every routing node has ejected it, though it has not failed on every one')
+def all_eject(context):
+    assert context.observed.ejected_s is not None, context.observed
+    assert 2 <= context.observed.failed < context.observed.nodes, context.observed
 
 
 @when('it is started again')
 def started_again(context):
-    assert context.seen  # the same play
+    assert context.observed  # it was started again in the same simulation
 
 
-@then('within 12 s no routing node leaves it alone')
-def back_again(context):
-    assert context.seen.back is not None, context.seen
+@then('within 12 s no routing node has it ejected')
+def recovered(context):
+    assert context.observed.recovered_s is not None, context.observed
 
 
 @when('a routing node is cut off from the replicas for 5 s')
@@ -229,27 +233,29 @@
         name = cut_off.ctx.startup['name']
         for replica in town.backs:
             town.world.cut(name, replica)
-        convinced, doubted = set(), set()
+        ejected_elsewhere, suspected = set(), set()
         for _ in range(100):
-            doubted |= set(cut_off.state.down)
-            convinced |= {r for n in town.nodes() if n is not cut_off for r in n.state.shunned}
+            suspected |= set(cut_off.state.ejections)
+            ejected_elsewhere |= {
+                r for n in town.nodes() if n is not cut_off for r in n.state.ejected_by_core
+            }
             await town.sleep(0.05)
-        return doubted, convinced
+        return suspected, ejected_elsewhere
 
-    context.seen = play(context, script)
+    context.observed = play(context, script)
 
 
-@then('no other routing node left a replica alone on its word')
-def nobody_convinced(context):
-    doubted, convinced = context.seen
-    assert doubted and not convinced, (doubted, convinced)
+@then('no other routing node ejected a replica on its report')
+def none_ejected_elsewhere(context):
+    suspected, ejected_elsewhere = context.observed
+    assert suspected and not ejected_elsewhere, (suspected, ejected_elsewhere)
 
 
-# ---- the choice
+# ---- the choice of a replica
 
 
-@given('a node that is told to leave "{shunned}" alone, of "{names}", with pooled_failures {switch}')
-def told_to_leave(context, shunned, names, switch):
+@given('a node on which the core has ejected "{replica}", of "{names}", with pooled_failures {switch}')
+def ejected_on_node(context, replica, names, switch):
     rows = {r: {'slots': 8, 'ready': True, 'zone': 'z'} for r in names.split()}
     policy = {
         'classes': {'c': {'share': 1, 'deadline_ms': 4000}},
@@ -257,13 +263,15 @@
         'mechanisms': {} if switch == 'on' else {'pooled_failures': False},
     }
     context.state = State(
-        policy=policy, listing={'at': 1, 'pools': {'p': rows}}, shunned=frozenset({shunned})
+        policy=policy, listing={'at': 1, 'pools': {'p': rows}}, ejected_by_core=frozenset({replica})
     )
 
 
-@when('it has failed with "{replica}" itself, longer ago than that sets it aside')
-def failed_itself(context, replica):
-    context.state = context.state._replace(down=Map({replica: Down(T0 - of_ms(1), 1, T0 - of_ms(1001))}))
+@when('"{replica}" has failed on the node itself, and that ejection is over')
+def failed_on_node(context, replica):
+    context.state = context.state._replace(
+        ejections=Map({replica: Ejection(T0 - of_ms(1), 1, T0 - of_ms(1001))})
+    )
 
 
 @then('40 tasks go to "{where}"')
@@ -274,28 +282,28 @@
     assert chosen == where.split(), chosen
 
 
-# ---- what is counted, and what it amounts to
+# ---- the outcomes that nodes report, and what follows from them
 
 
-@given('routing nodes that say of replica "{replica}": {words}')
-def nodes_say(context, replica, words):
+@given('routing nodes that report of replica "{replica}": {reports}')
+def nodes_report(context, replica, reports):
     context.replica, context.routing = replica, []
-    for n, word in enumerate(words.split(', ')):
-        zone, fails, wells = word.split()
-        outcomes = {replica: [float(fails), float(wells)]}
+    for n, report in enumerate(reports.split(', ')):
+        zone, failures, successes = report.split()
+        outcomes = {replica: [float(failures), float(successes)]}
         context.routing.append(RoutingNode(f'n{n}', 'route', '', zone, 0, outcomes=outcomes))
 
 
-@then('the core has "{replica}" {left}')
-def core_has(context, replica, left):
-    assert pooled_failures.shunned(context.routing) == ((replica,) if left == 'left alone' else ()), left
+@then('the core has "{replica}" {state}')
+def core_has(context, replica, state):
+    assert pooled_failures.ejected(context.routing) == ((replica,) if state == 'ejected' else ()), state
 
 
-ENDS = {
-    'ends well': Health('r', True),
+RESULTS = {
+    'succeeds': Health('r', True),
     'breaks off': Health('r', False, soft=True),
-    'is answered with an error of its own': Health('r', True, erred=True),
-    'is turned away for want of room': Health('r', False, soft=True, full=True),
+    'is answered with an error': Health('r', True, error_response=True),
+    'is refused for lack of a slot': Health('r', False, soft=True, at_capacity=True),
 }
 
 
@@ -306,9 +314,11 @@
 
 @when('another {ends}')
 def another_ends(context, ends):
-    context.state, _ = reducer.step(context.state, ENDS[ends], T0)
+    context.state, _ = reducer.step(context.state, RESULTS[ends], T0)
 
 
-@then('it says that {fails:d} failed and {wells:d} went well at "r"')
-def it_says(context, fails, wells):
-    assert replica_health.told_outcomes(context.state, T0) == {'r': [fails, wells]}, context.state.outcomes
+@then('it reports {failures:d} failures and {successes:d} successes at "r"')
+def it_reports(context, failures, successes):
+    assert replica_health.reported_outcomes(context.state, T0) == {'r': [failures, successes]}, (
+        context.state.outcomes
+    )
--- a/src/quillstall/configuration/rules.py
+++ b/src/quillstall/configuration/rules.py
@@ -1,18 +1,20 @@
-"""Rules: CEL-like expressions in the policy that refuse work which the policy would otherwise take. They
-can only take away: a rule is asked after everything else has allowed a task."""
+"""CEL expressions in a policy that refuse tasks which it would otherwise accept. A rule can only restrict: it is
+evaluated after all other checks have allowed a task."""
 
 from functools import lru_cache
 from typing import Any
 
 import cel
 
-TEXT_MOST = 300
-RULES_MOST = 20
-CALLS = frozenset(
+MAX_EXPRESSION_LENGTH = 300
+MAX_RULES = 20
+ALLOWED_FUNCTIONS = frozenset(
     ('size', 'startsWith', 'endsWith', 'contains')
-)  # no loops, no patterns: cost is the text's length
+)  # no loops and no regular expressions, so that the cost is linear in the text's length
 
-FACTS: dict[str, Any] = {  # what a rule may ask about, with the value that stands where it does not apply
+DEFAULT_FACTS: dict[
+    str, Any
+] = {  # what a rule may refer to, each with the value that it has where it does not apply
     'kind': 'turn',
     'route': '',
     'class': '',
@@ -27,26 +29,26 @@
     'max_tokens': 0,
     'deadline_ms': 0,
 }
-NAMES = {'class': 'class_'}  # `class` is a reserved word in CEL
+CEL_NAMES = {'class': 'class_'}  # `class` is a reserved word in CEL
 
 
-def named(facts: dict) -> dict:
-    """The facts under the names that expressions use, each one there.
+def cel_variables(facts: dict) -> dict:
+    """Return all facts under their names in expressions; a missing one has its default.
 
-    >>> named({'class': 'talks'})['class_'], named({})['kind']
+    >>> cel_variables({'class': 'talks'})['class_'], cel_variables({})['kind']
     ('talks', 'turn')
     """
-    return {NAMES.get(k, k): facts.get(k, v) for k, v in FACTS.items()}
+    return {CEL_NAMES.get(k, k): facts.get(k, v) for k, v in DEFAULT_FACTS.items()}
 
 
-@lru_cache(maxsize=4 * RULES_MOST)
-def read(text: str) -> Any:
-    """An expression, ready to be asked: `read('prompt_tokens > 9')`. ValueError if it is none."""
+@lru_cache(maxsize=4 * MAX_RULES)
+def compiled(text: str) -> Any:
+    """Return a compiled expression, as of `prompt_tokens > 9`. Raise ValueError if it cannot be parsed."""
     return cel.compile(text)
 
 
 def findings(rules: dict) -> list[tuple[str, str]]:
-    """All that is wrong with the rules of a policy, each with its place.
+    """Return the errors in a policy's rules, as (path, text).
 
     >>> findings({'big': {'when': 'prompt_tokens > 20000 && class_ != "talks"'}})
     []
@@ -57,54 +59,54 @@
     >>> findings({'d': {'when': 'route > 1'}})[0][1][:23], findings({'e': {'when': 'route =='}})[0][1][:13]
     ('cannot be asked of task', 'cannot be rea')
     """
-    out = []
-    if len(rules) > RULES_MOST:
-        out.append(('rules', f'are {len(rules)}, must be {RULES_MOST} at most'))
+    errors = []
+    if len(rules) > MAX_RULES:
+        errors.append(('rules', f'are {len(rules)}, must be {MAX_RULES} at most'))
     for name, rule in sorted(rules.items()):
-        place, text = f'rules.{name}.when', rule['when']
-        if len(text) > TEXT_MOST:
-            out.append((place, f'has {len(text)} letters, must have {TEXT_MOST} at most'))
+        path, text = f'rules.{name}.when', rule['when']
+        if len(text) > MAX_EXPRESSION_LENGTH:
+            errors.append((path, f'has {len(text)} letters, must have {MAX_EXPRESSION_LENGTH} at most'))
             continue
-        if set(text) & set('[{'):  # nothing to loop over
-            out.append((place, 'has a list or a map, which is not allowed'))
+        if set(text) & set('[{'):  # collections would allow loops
+            errors.append((path, 'has a list or a map, which is not allowed'))
             continue
         try:
-            program = read(text)
-        except Exception as e:  # the library has several kinds of its own
-            out.append((place, f'cannot be read: {str(e).splitlines()[0]}'))
+            program = compiled(text)
+        except Exception as e:  # the library raises several exception types of its own
+            errors.append((path, f'cannot be read: {str(e).splitlines()[0]}'))
             continue
-        calls = sorted(f for f in program.functions() if f.isidentifier() and f not in CALLS)
-        strange = sorted(set(program.variables()) - set(named({})))
-        out += [(place, f'calls {f!r}, which is not allowed') for f in calls]
-        out += [(place, f'asks for {v!r}, which no task has') for v in strange if not calls]
-        if calls or strange:
+        disallowed = sorted(f for f in program.functions() if f.isidentifier() and f not in ALLOWED_FUNCTIONS)
+        unknown = sorted(set(program.variables()) - set(cel_variables({})))
+        errors += [(path, f'calls {f!r}, which is not allowed') for f in disallowed]
+        errors += [(path, f'asks for {v!r}, which no task has') for v in unknown if not disallowed]
+        if disallowed or unknown:
             continue
         try:
-            value = program.execute(named({}))
+            value = program.execute(cel_variables({}))
             if not isinstance(value, bool):
-                out.append((place, f'gives {type(value).__name__}, must be true or false'))
-        except ZeroDivisionError:  # it depends on the task: decided there, see `judge`
+                errors.append((path, f'gives {type(value).__name__}, must be true or false'))
+        except ZeroDivisionError:  # this depends on the task: see `evaluate`
             pass
         except Exception as e:
-            out.append((place, f'cannot be asked of tasks: {str(e).splitlines()[0]}'))
-    return out
+            errors.append((path, f'cannot be asked of tasks: {str(e).splitlines()[0]}'))
+    return errors
 
 
-def judge(rules: dict, facts: dict) -> tuple[str, str] | None:
-    """The first rule, by name, that refuses this task, and what to tell; None if all let it pass. A rule that
-    fails while it is asked refuses: a fault of the operator's must not let through what it was to stop.
+def evaluate(rules: dict, facts: dict) -> tuple[str, str] | None:
+    """Return the name and the refusal text of the first rule, by name, that refuses a task; None if all allow it.
+    A rule that raises an error refuses: an operator's mistake must not let through what the rule should stop.
 
-    >>> judge({'big': {'when': 'prompt_tokens > 9', 'refuse': 'too long'}}, {'prompt_tokens': 10})
+    >>> evaluate({'big': {'when': 'prompt_tokens > 9', 'refuse': 'too long'}}, {'prompt_tokens': 10})
     ('big', 'too long')
-    >>> judge({'big': {'when': 'prompt_tokens > 9'}}, {'prompt_tokens': 9}) is None
+    >>> evaluate({'big': {'when': 'prompt_tokens > 9'}}, {'prompt_tokens': 9}) is None
     True
-    >>> judge({'odd': {'when': '1 / max_tokens > 0'}}, {})[1]
+    >>> evaluate({'odd': {'when': '1 / max_tokens > 0'}}, {})[1]
     'the rule failed: division by zero in CEL expression'
     """
-    known = named(facts) if rules else {}
+    variables = cel_variables(facts) if rules else {}
     for name, rule in sorted(rules.items()):
         try:
-            if read(rule['when']).execute(known) is not False:
+            if compiled(rule['when']).execute(variables) is not False:
                 return name, rule.get('refuse', 'a rule of the policy refuses it')
         except Exception as e:
             return name, f'the rule failed: {str(e).splitlines()[0]}'
--- a/src/quillstall/controlplane/leases.py
+++ b/src/quillstall/controlplane/leases.py
@@ -7,7 +7,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import allot, book, placement, pooled_failures
+from quillstall.controlplane import book, placement, pooled_failures, slot_allocation
 from quillstall.controlplane.core_state import (
     FRESH,
     VOUCHED,
@@ -126,7 +126,7 @@
         frozenset(stores),
         tuple(sorted(doubts)),
         failing,
-        pooled_failures.shunned(alive) if doubts or failing else (),
+        pooled_failures.ejected(alive) if doubts or failing else (),
         {r: v['well'] for n in alive for r, v in n.reports.items() if r in doubts},
         tuple(placement.plans(state, now)) if any(n.role == 'store' for n in asking) else (),
     )
@@ -305,10 +305,12 @@
         ):
             want = old
         wants[pool] = want
-        rows = allot.lay(sizes, allot.totals(sum(sizes.values()), want))
+        rows = slot_allocation.allocate_replicas(
+            sizes, slot_allocation.node_totals(sum(sizes.values()), want)
+        )
         for r, row in rows.items():
             have = {n: held[n].get(r, 0) for n in names}
-            row = allot.trade(sizes[r], row, have)
+            row = slot_allocation.grantable(sizes[r], row, have)
             targets[r] = row
             for n in names:
                 held[n][r] = max(have[n], row[n])
--- a/src/quillstall/controlplane/pooled_failures.py
+++ b/src/quillstall/controlplane/pooled_failures.py
@@ -1,7 +1,8 @@
-"""Failures of replicas as several routing nodes saw them, weighed together.
+"""Outlier detection over the failures that several routing nodes report.
 
-A node sees few requests of any one replica, so each would have to fail with it by itself. Each says with its polls
-where it failed lately, and of replicas in doubt when it was last served; what several agree on goes to all.
+A node sends few requests to any one replica, so on its own it would detect a failing replica late. Each node's poll
+reports its recent failures and, for suspected replicas, its recent successes; replicas on which several nodes agree
+are ejected on all nodes.
 """
 
 from collections.abc import Iterable
@@ -9,14 +10,14 @@
 
 from quillstall.controlplane.core_state import Node
 
-NODES_LEAST = 2  # one node's word is never enough: it may be cut off itself
-ZONES_LEAST = 2  # nor one zone's, where there are several
-FAILS_LEAST = 2.5  # failed tasks, the older counting for less, before their part is looked at
-FAILS_PART = 0.3  # a replica that fails so large a part of its tasks is left alone
+MIN_NODES = 2  # a single node's report is not enough: that node may be cut off itself
+MIN_ZONES = 2  # nor is a single zone's, where there are several
+MIN_FAILURES = 2.5  # weighted by age; below this the failure rate is not considered
+MIN_FAILURE_FRACTION = 0.3  # of its tasks that must have failed for a replica to be ejected
 
 
 def times_of(ages_ms: dict[str, int], now: datetime) -> dict[str, datetime]:
-    """When something last happened at each replica, from how long ago a node said it was.
+    """Return the time of each replica's last event, from its age as a node reported it.
 
     >>> from datetime import UTC
     >>> times_of({'r': 250}, datetime(2026, 1, 1, tzinfo=UTC))['r'].microsecond
@@ -26,74 +27,74 @@
 
 
 def failing(nodes: Iterable[Node]) -> tuple[str, ...]:
-    """The replicas that some node failed with lately: of these all say how their own tasks went.
+    """Return the replicas with recent failures on any node, on which all nodes are to report their outcomes.
 
     >>> failing([Node('a', 'route', '', 'x', 0, outcomes={'r': [1.0, 0.0], 's': [0.0, 2.0]})])
     ('r',)
     """
-    return tuple(sorted({r for node in nodes for r, (fails, _) in node.outcomes.items() if fails > 0}))
+    return tuple(sorted({r for node in nodes for r, (failed, _) in node.outcomes.items() if failed > 0}))
 
 
-def shunned(nodes: Iterable[Node]) -> tuple[str, ...]:
-    """The replicas that all should leave alone for now."""
+def ejected(nodes: Iterable[Node]) -> tuple[str, ...]:
+    """Return the replicas that all routing nodes should avoid for now."""
     routing = [node for node in nodes if node.role == 'route']
-    return tuple(sorted({*lost(routing), *failing_often(routing)}))
+    return tuple(sorted({*unresponsive(routing), *failing_often(routing)}))
 
 
-def agreed(seen_by: list[Node], routing: list[Node]) -> bool:
-    """Whether enough nodes, of enough zones, saw the same.
+def agreed(reporting: list[Node], routing: list[Node]) -> bool:
+    """Return whether enough routing nodes in enough zones report the same.
 
     >>> a, b = (Node(n, 'route', '', zone, 0) for n, zone in (('a', 'x'), ('b', 'y')))
     >>> agreed([a, b], [a, b]), agreed([a], [a, b]), agreed([a, a._replace(name='c')], [a, b])
     (True, False, False)
     """
-    zones_least = min(ZONES_LEAST, len({node.zone for node in routing}))
-    return len(seen_by) >= NODES_LEAST and len({node.zone for node in seen_by}) >= zones_least
+    min_zones = min(MIN_ZONES, len({node.zone for node in routing}))
+    return len(reporting) >= MIN_NODES and len({node.zone for node in reporting}) >= min_zones
 
 
 def failing_often(routing: list[Node]) -> list[str]:
-    """The replicas where, of all nodes' tasks that ended lately, a large part failed.
+    """Return the replicas where a large fraction of all nodes' recent tasks failed.
 
     >>> a, b = (Node(n, 'route', '', zone, 0, outcomes={'r': [1.5, 2.0]}) for n, zone in (('a', 'x'), ('b', 'y')))
     >>> failing_often([a, b]), failing_often([a, b, b._replace(outcomes={'r': [0.0, 9.0]})])
     (['r'], [])
     """
-    fails: dict[str, float] = {}
+    failures: dict[str, float] = {}
     ended: dict[str, float] = {}
-    witnesses: dict[str, list[Node]] = {}
+    reports: dict[str, list[Node]] = {}
     for node in routing:
-        for replica, (failed, well) in node.outcomes.items():
-            fails[replica] = fails.get(replica, 0.0) + failed
-            ended[replica] = ended.get(replica, 0.0) + failed + well
+        for replica, (failed, succeeded) in node.outcomes.items():
+            failures[replica] = failures.get(replica, 0.0) + failed
+            ended[replica] = ended.get(replica, 0.0) + failed + succeeded
             if failed > 0:
-                witnesses.setdefault(replica, []).append(node)
+                reports.setdefault(replica, []).append(node)
     return [
         replica
-        for replica, seen_by in witnesses.items()
-        if fails[replica] >= FAILS_LEAST
-        and fails[replica] >= FAILS_PART * ended[replica]
-        and agreed(seen_by, routing)
+        for replica, reporting in reports.items()
+        if failures[replica] >= MIN_FAILURES
+        and failures[replica] >= MIN_FAILURE_FRACTION * ended[replica]
+        and agreed(reporting, routing)
     ]
 
 
-def lost(routing: list[Node]) -> list[str]:
-    """The replicas that nodes of several zones have failed with since any node was last served by them.
+def unresponsive(routing: list[Node]) -> list[str]:
+    """Return the replicas that failed on nodes of several zones after the last success on any node.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
     >>> a, b = (Node(n, 'route', '', zone, 0, failing={'r': t}) for n, zone in (('a', 'x'), ('b', 'y')))
-    >>> lost([a, b]), lost([a]), lost([a, b._replace(zone='x'), b._replace(name='c', failing={})])
+    >>> unresponsive([a, b]), unresponsive([a]), unresponsive([a, b._replace(zone='x'), b._replace(name='c', failing={})])
     (['r'], [], [])
-    >>> lost([a, b._replace(serving={'r': t})])
+    >>> unresponsive([a, b._replace(serving={'r': t})])
     []
     """
-    served: dict[str, datetime] = {}
+    last_success: dict[str, datetime] = {}
     for node in routing:
         for replica, at in node.serving.items():
-            served[replica] = max(at, served.get(replica, at))
-    witnesses: dict[str, list[Node]] = {}
+            last_success[replica] = max(at, last_success.get(replica, at))
+    reports: dict[str, list[Node]] = {}
     for node in routing:
         for replica, at in node.failing.items():
-            if replica not in served or at > served[replica]:
-                witnesses.setdefault(replica, []).append(node)
-    return [replica for replica, seen_by in witnesses.items() if agreed(seen_by, routing)]
+            if replica not in last_success or at > last_success[replica]:
+                reports.setdefault(replica, []).append(node)
+    return [replica for replica, reporting in reports.items() if agreed(reporting, routing)]
--- a/src/quillstall/dataplane/admission/__init__.py
+++ b/src/quillstall/dataplane/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission: for every task of a routing node, send it now, let it wait briefly, or refuse it at once."""
+"""Admission: each task of a routing node is sent at once, queued for a short time, or refused at once."""
--- a/src/quillstall/dataplane/admission/choice.py
+++ b/src/quillstall/dataplane/admission/choice.py
@@ -1,4 +1,4 @@
-"""Which replica a task goes to."""
+"""Selects the replica for a task."""
 
 from collections.abc import Collection
 from datetime import datetime
@@ -6,121 +6,123 @@
 
 from quillstall.dataplane.admission import admission_state
 from quillstall.dataplane.admission.admission_state import State, Task
-from quillstall.dataplane.admission.replica_health import ASIDE_MOST
+from quillstall.dataplane.admission.replica_health import MAX_EJECTED_FRACTION
 from quillstall.replication.rendezvous import rank
 
-RUN_TOKENS = 1600.0  # one more running request delays a turn as reading so many tokens does
-FAR = 0.7  # another zone counts as this part of a running request
+REQUEST_COST_TOKENS = 1600.0  # one more running request delays a turn as much as this many uncached tokens
+CROSS_ZONE_COST = 0.7  # cost of a replica in another zone, in running requests
 
 
 def assign(state: State, task: Task, now: datetime) -> str | None:
-    """The replica for a task: where its conversation is warm, else where its shared prompt is,
-    unless that one is fuller than the emptiest by more than the policy's slack."""
+    """Return the replica for a task, None if no slot is free: the one with the conversation's prefix cached,
+    else the one with its shared prefix unless that exceeds the lowest utilization by more than the policy's slack."""
     slots = admission_state.slots_of(state, task.pool)
     free = {}
     for r, n in slots.items():
-        used = state.used.get(r, 0)
-        down = state.down.get(r)
-        if used >= n or r in task.avoid or (down and now < down.until):
+        used = state.used_slots.get(r, 0)
+        ejection = state.ejections.get(r)
+        if used >= n or r in task.excluded_replicas or (ejection and now < ejection.until):
             continue
-        if down and used:  # it failed lately: one task at a time until one goes well
+        if ejection and used:  # after an ejection one task at a time, until one succeeds
             continue
         free[r] = used / n
-    free = without_shunned(state, free, slots)
+    free = without_ejected(state, free, slots)
     if not free:
         return None
     if state.policy['pools'][task.pool].get('listed'):
         return (
-            soonest(state, task, free)
-            if admission_state.uses(state, 'predicted_end')
-            else emptiest(task, free)
+            earliest_end(state, task, free)
+            if admission_state.mechanism_enabled(state, 'predicted_end')
+            else least_loaded(task, free)
         )
-    if task.prefer in free:
-        return task.prefer
+    if task.preferred_replica in free:
+        return task.preferred_replica
     least = min(free.values())
-    slack = admission_state.rules(state)['warm_slack']
-    for r in rank(task.warm or task.route, free):
+    slack = admission_state.settings(state)['warm_slack']
+    for r in rank(task.shared_prefix or task.route, free):
         if free[r] <= least + slack:
             return r
     return None
 
 
-def without_shunned(state: State, free: dict[str, float], pool: Collection[str]) -> dict[str, float]:
-    """The free replicas without those that several nodes failed with lately. One that failed here too is tried
-    by this node's own rule, so that somebody sees it recover; and no more of a pool is left alone than a part.
+def without_ejected(state: State, free: dict[str, float], pool: Collection[str]) -> dict[str, float]:
+    """Return the free replicas without those that the core ejected. A replica that this node ejected itself
+    stays, so that some node probes its recovery; if too large a fraction of the pool is ejected, all stay.
 
     >>> free = {'a': 0.0, 'b': 0.0, 'c': 0.0, 'd': 0.0}
-    >>> sorted(without_shunned(State(shunned=frozenset('a')), free, free))
+    >>> sorted(without_ejected(State(ejected_by_core=frozenset('a')), free, free))
     ['b', 'c', 'd']
-    >>> len(without_shunned(State(shunned=frozenset('ab')), free, free))
+    >>> len(without_ejected(State(ejected_by_core=frozenset('ab')), free, free))
     4
     """
-    shunned = [r for r in pool if r in state.shunned]
-    if not shunned or len(shunned) > len(pool) * ASIDE_MOST:
+    ejected = [r for r in pool if r in state.ejected_by_core]
+    if not ejected or len(ejected) > len(pool) * MAX_EJECTED_FRACTION:
         return free
-    if not admission_state.uses(state, 'pooled_failures'):
+    if not admission_state.mechanism_enabled(state, 'pooled_failures'):
         return free
-    return {r: load for r, load in free.items() if r not in state.shunned or r in state.down} or free
+    return {
+        r: load for r, load in free.items() if r not in state.ejected_by_core or r in state.ejections
+    } or free
 
 
-def soonest(state: State, task: Task, free: dict) -> str:
-    """Of these replicas the one where the task should end first: what runs and waits there slows it, what
-    of its prompt was not read there must be read, and the way to another zone costs a little.
+def earliest_end(state: State, task: Task, free: dict) -> str:
+    """Return the free replica where the task should end first, by a cost in tokens: the load there, the
+    prompt tokens that are not cached there, and a penalty for another zone and for a cold start.
 
     >>> from immutables import Map
     >>> rows = {r: {'slots': 8, 'ready': True, 'zone': z} for r, z in (('a', 'x'), ('b', 'y'))}
-    >>> s = State(listing={'pools': {'p': rows}}, used=Map({'a': 2}))
+    >>> s = State(listing={'pools': {'p': rows}}, used_slots=Map({'a': 2}))
     >>> task = Task('t', 'r', 'c', 'p', 10, None, None, zone='x')
-    >>> soonest(s, task, rows), soonest(s, task._replace(unread={'b': 9000}), rows)
+    >>> earliest_end(s, task, rows), earliest_end(s, task._replace(uncached_tokens={'b': 9000}), rows)
     ('b', 'a')
     """
     rows = admission_state.replicas_of(state, task.pool) or state.listing['pools'][task.pool]
-    memory, zones, warmth = (
-        admission_state.uses(state, name) for name in ('prompt_memory', 'zones', 'warmth')
+    count_uncached, count_zones, count_cold_start = (
+        admission_state.mechanism_enabled(state, name) for name in ('prompt_memory', 'zones', 'warmth')
     )
     best, least = '', 0.0
     for r in sorted(free, key=lambda r: (r, task.name)):
-        load = state.used.get(r, 0) + admission_state.elsewhere_of(state, r)
+        load = state.used_slots.get(r, 0) + admission_state.load_of_others(state, r)
         slots = rows[r]['slots']
-        over = max(0.0, load + 1 - slots)
-        cost = (load + 3.0 * over) * (RUN_TOKENS if task.hold > 1 else 1.0)
-        cost += task.unread.get(r, 0) if memory else 0
-        if zones and rows[r].get('zone') != task.zone:
-            cost += RUN_TOKENS * FAR if task.hold > 1 else FAR
-        if warmth and rows[r].get('cold'):
-            cost += RUN_TOKENS * slots
-        cost += tie(task.name, r)
+        excess = max(0.0, load + 1 - slots)
+        cost = (load + 3.0 * excess) * (REQUEST_COST_TOKENS if task.reserved_tokens > 1 else 1.0)
+        cost += task.uncached_tokens.get(r, 0) if count_uncached else 0
+        if count_zones and rows[r].get('zone') != task.zone:
+            cost += REQUEST_COST_TOKENS * CROSS_ZONE_COST if task.reserved_tokens > 1 else CROSS_ZONE_COST
+        if count_cold_start and rows[r].get('cold'):
+            cost += REQUEST_COST_TOKENS * slots
+        cost += tie_breaker(task.name, r)
         if not best or cost < least:
             best, least = r, cost
     return best
 
 
-def emptiest(task: Task, free: dict[str, float]) -> str:
-    """Of these replicas, each with how full it is of this node's work, the emptiest.
+def least_loaded(task: Task, free: dict[str, float]) -> str:
+    """Return the replica with the lowest utilization by this node.
 
-    >>> emptiest(Task('t', 'r', 'c', 'p', 1, None, None), {'a': 0.5, 'b': 0.25})
+    >>> least_loaded(Task('t', 'r', 'c', 'p', 1, None, None), {'a': 0.5, 'b': 0.25})
     'b'
     """
-    return min(free, key=lambda r: (free[r], tie(task.name, r)))
+    return min(free, key=lambda r: (free[r], tie_breaker(task.name, r)))
 
 
-def tie(name: str, replica: str) -> float:
-    """A small number that differs from request to request, so that equal replicas are used evenly.
+def tie_breaker(name: str, replica: str) -> float:
+    """Return a small number that depends on request and replica, so that equal replicas are used evenly.
 
-    A checksum alone would not do: those of one request at two replicas differ by the same bits for every
-    request, so some replicas would win far more often than others.
+    A plain checksum is not enough: for every request the checksums of two replicas differ by the same bits,
+    so some replicas would be chosen far more often than others.
 
-    >>> 0 <= tie('t', 'r') < 0.5
+    >>> 0 <= tie_breaker('t', 'r') < 0.5
     True
-    >>> won = [min(('a', 'b', 'c'), key=lambda r: tie(f't{n}', r)) for n in range(300)]
+    >>> won = [min(('a', 'b', 'c'), key=lambda r: tie_breaker(f't{n}', r)) for n in range(300)]
     >>> all(80 <= won.count(r) <= 120 for r in 'abc')
     True
     """
-    return mixed(crc32(f'{name} {replica}'.encode())) / 2**33
+    return mix_bits(crc32(f'{name} {replica}'.encode())) / 2**33
 
 
-def mixed(number: int) -> int:
-    """A number of 32 bits with each of its bits spread over all of them: `mixed(1)`."""
+def mix_bits(number: int) -> int:
+    """Return a 32-bit integer hash in which each input bit affects all output bits."""
     number = (number ^ number >> 16) * 0x7FEB352D & 0xFFFFFFFF
     number = (number ^ number >> 15) * 0x846CA68B & 0xFFFFFFFF
     return number ^ number >> 16
--- a/src/quillstall/dataplane/admission/messages.py
+++ b/src/quillstall/dataplane/admission/messages.py
@@ -1,34 +1,34 @@
-"""What admission is told, and what it decides."""
+"""The events that admission handles, and its decisions."""
 
 from datetime import datetime, timedelta
 from typing import Any, NamedTuple
 
 
 class Arrive(NamedTuple):
-    """A task asks to be sent. `again`: its last round failed before anything came of it.
+    """A task arrives. `retry`: its previous attempt failed before it produced anything.
 
-    >>> Arrive(None).again
+    >>> Arrive(None).retry
     False
     """
 
     task: Any
-    again: bool = False
+    retry: bool = False
 
 
 class Leave(NamedTuple):
-    """A task has ended or been given up; `used` tokens were spent.
+    """A task has ended or was withdrawn; `took` is its service time if it succeeded.
 
-    >>> Leave('t').used
+    >>> Leave('t').used_tokens
     0
     """
 
     name: str
-    used: int = 0
+    used_tokens: int = 0
     took: timedelta | None = None
 
 
 class Credit(NamedTuple):
-    """Tokens of a running task have been worked off, in the ledger's unit.
+    """Tokens of a running task have been processed, in the ledger's unit.
 
     >>> Credit('t', 10).tokens
     10
@@ -39,33 +39,33 @@
 
 
 class News(NamedTuple):
-    """What the core answered to a poll; `lease` counts from when the poll was sent.
+    """The core's reply to a poll; `lease` is when the lease expires, counted from the sending of the poll.
 
-    >>> News({'generation': 1}, None).ret['generation']
+    >>> News({'generation': 1}, None).reply['generation']
     1
     """
 
-    ret: dict
+    reply: dict
     lease: datetime | None
 
 
 class Health(NamedTuple):
-    """A round on a replica failed, or went well.
+    """The result of an attempt at a replica.
 
-    >>> Health('r1', False).well
+    >>> Health('r1', False).succeeded
     False
     """
 
     replica: str
-    well: bool
-    soft: bool = False  # it answered badly once; only several in a row count
-    stalled: bool = False  # a stream from it is silent for far longer than usual
-    erred: bool = False  # it answered, with an error of its own that was passed on
-    full: bool = False  # it turned the task away: a word on its load, not on its health
+    succeeded: bool
+    soft: bool = False  # the replica answered, but badly: only several in a row count
+    stalled: bool = False  # a stream from it has been silent for far longer than usual
+    error_response: bool = False  # it answered with an error that was passed on to the caller
+    at_capacity: bool = False  # it refused for lack of a slot, which tells of its load and not of its health
 
 
 class Load(NamedTuple):
-    """What a replica has told of its load with an answer: running, waiting and slots.
+    """The load that a replica reported with an answer: running, waiting and slots.
 
     >>> Load('r1', 3, 0, 8).slots
     8
@@ -78,28 +78,28 @@
 
 
 class Report(NamedTuple):
-    """What the holder of the probe duty learnt of a replica that is in doubt.
+    """The probe leader's result for a suspected replica.
 
-    >>> Report('r1', True).well
+    >>> Report('r1', True).succeeded
     True
     """
 
     replica: str
-    well: bool
+    succeeded: bool
 
 
 class Drain(NamedTuple):
-    """Take nothing new any more.
+    """Accept no new tasks from now on.
 
     >>> Drain()
     Drain()
     """
 
 
-class Word(NamedTuple):
+class Decision(NamedTuple):
     """The decision on one task: a replica, or a fault.
 
-    >>> Word('t', 'r1').fault is None
+    >>> Decision('t', 'r1').fault is None
     True
     """
 
--- a/src/quillstall/dataplane/admission/reducer.py
+++ b/src/quillstall/dataplane/admission/reducer.py
@@ -1,9 +1,9 @@
-"""Admission: for every task, send it now, let it wait briefly, or refuse it at once.
+"""Admission control: each task is sent at once, queued for a short time, or refused at once.
 
-A pure reducer, after the paper (docs/design.md names it): each task reserves its prompt and its
-most output in a ledger; one that cannot be sent is let wait only if the pending tokens before it,
-divided by the rate at which tokens drain, leave time for its own service before its deadline;
-the same is asked again when its turn comes; and under overload the newest goes first.
+A pure reducer, after the paper that docs/design.md names. Each task reserves its prompt tokens and its largest
+possible output in a ledger. One that cannot be sent at once is queued only if the pending tokens ahead of it,
+divided by the drain rate, leave time for its own service before its deadline. The same check is made again when
+it is dequeued. Under overload the newest task is served first.
 """
 
 from datetime import datetime, timedelta
@@ -20,19 +20,26 @@
     throughput,
     waiting,
 )
-from quillstall.dataplane.admission.admission_state import RETRY_BURST, SAMPLE, Pool, Run, State, Task
+from quillstall.dataplane.admission.admission_state import (
+    MAX_RETRY_BUDGET,
+    SAMPLE_INTERVAL,
+    Pool,
+    RunningTask,
+    State,
+    Task,
+)
 from quillstall.dataplane.admission.messages import (
     Arrive,
     Credit,
+    Decision,
     Drain,
     Health,
     Leave,
     Load,
     News,
     Report,
-    Word,
 )
-from quillstall.dataplane.admission.refusal import NO_PLACE
+from quillstall.dataplane.admission.refusal import NOT_IN_POLICY
 from quillstall.dataplane.ledger import Ledger
 from quillstall.network.listing import Listing
 from quillstall.runtime.clock import ms
@@ -40,293 +47,323 @@
 from quillstall.runtime.errors import Fault
 
 
-def trial(state: State, task: Task, now: datetime) -> bool:
-    """Whether a task may go although its route has lately been too slow: one at a time, if it would do
-    by what the route is declared to take. Without it a route that was slow once would never be seen
-    to be fast again."""
-    return now + task.prior <= task.deadline and not any(
-        run.task.route == task.route for run in state.runs.values()
+def may_try(state: State, task: Task, now: datetime) -> bool:
+    """Return whether a task may be sent on trial although its route has recently been too slow: one at a time,
+    if the declared service time fits its deadline. Without trials a route that was slow once would never be
+    measured again."""
+    return now + task.prior_service_time <= task.deadline and not any(
+        running.task.route == task.route for running in state.running_tasks.values()
     )
 
 
-def send(state: State, pool: Pool, task: Task, replica: str, now: datetime, out: list) -> State:
-    """Reserve, take the slot, and say so."""
+def send(state: State, pool: Pool, task: Task, replica: str, now: datetime, effects: list) -> State:
+    """Return the state with the task's tokens reserved and a slot taken; the decision goes into the effects."""
     pool = pool._replace(
-        ledger=ledger.reserve(ledger.age(pool.ledger, now), task.hold, now),
-        running=pool.running.set(task.cls, pool.running.get(task.cls, 0) + 1),
+        ledger=ledger.reserve(ledger.without_expired(pool.ledger, now), task.reserved_tokens, now),
+        running=pool.running.set(task.class_name, pool.running.get(task.class_name, 0) + 1),
     )
-    out.append(Count('sent'))
-    out.append(Word(task.name, replica))
+    effects.append(Count('sent'))
+    effects.append(Decision(task.name, replica))
     return state._replace(
         pools=state.pools.set(pool.name, pool),
-        runs=state.runs.set(task.name, Run(task, replica, now)),
-        used=state.used.set(replica, state.used.get(replica, 0) + 1),
+        running_tasks=state.running_tasks.set(task.name, RunningTask(task, replica, now)),
+        used_slots=state.used_slots.set(replica, state.used_slots.get(replica, 0) + 1),
     )
 
 
-def serve(state: State, name: str, now: datetime, out: list) -> State:
-    """Send pending tasks while there are slots; each is asked again whether it is still worth it."""
+def serve(state: State, name: str, now: datetime, effects: list) -> State:
+    """Send a pool's pending tasks while slots are free; drop those whose deadline can no longer be met."""
     skip: set = set()
     while admission_state.leased(state, now):
         pool = state.pools.get(name)
-        cls = waiting.next_class(state, pool, skip) if pool else None
-        if cls is None:
+        class_name = waiting.next_class(state, pool, skip) if pool else None
+        if class_name is None:
             break
-        line = pool.pending[cls]
-        task = line[-1] if pool.newest.get(cls) else line[0]
+        queue = pool.pending[class_name]
+        task = queue[-1] if pool.newest_first.get(class_name) else queue[0]
         if now + service_time.expected(state, task) > task.deadline:
-            state = waiting.drop(state, task, 'dequeue', 'dropped before it was sent', now, out)
+            state = waiting.drop(state, task, 'dequeue', 'dropped before it was sent', now, effects)
             continue
         replica = choice.assign(state, task, now)
         if replica is None or not throughput.fits(state, pool, task, now):
-            skip.add(cls)
+            skip.add(class_name)
             continue
-        state = waiting.take(state, pool, task)
-        state = send(state, state.pools[name], task, replica, now, out)
-        state = waiting.order(state, state.pools[name], cls, out)
+        state = waiting.remove(state, pool, task)
+        state = send(state, state.pools[name], task, replica, now, effects)
+        state = waiting.order(state, state.pools[name], class_name, effects)
     return state
 
 
-def arrive(state: State, event: Arrive, now: datetime, out: list) -> State:
-    """Decide on one task."""
+def arrive(state: State, event: Arrive, now: datetime, effects: list) -> State:
+    """Send, queue or refuse an arriving task."""
     task = event.task
-    out.append(Count('arrived'))
+    effects.append(Count('arrived'))
     if state.draining:
-        return refusal.refuse(state, None, task, 'draining', now, out)
+        return refusal.refuse(state, None, task, 'draining', now, effects)
     if not admission_state.leased(state, now):
-        return refusal.refuse(state, None, task, 'no_lease', now, out)
-    if not admission_state.has_place(state, task.pool, task.cls):  # it was made under an older policy
-        return refusal.refuse(state, None, task, 'no_replica', now, out, NO_PLACE)
+        return refusal.refuse(state, None, task, 'no_lease', now, effects)
+    if not admission_state.in_policy(state, task.pool, task.class_name):  # it was made under an older policy
+        return refusal.refuse(state, None, task, 'no_replica', now, effects, NOT_IN_POLICY)
     pool = state.pools.get(task.pool) or Pool(task.pool)
-    if event.again:
-        if state.retry < 1:
-            out.append(Count('retries.denied'))
-            return refusal.refuse(state, None, task, 'no_replica', now, out, 'too many rounds are failing')
-        state = state._replace(retry=state.retry - 1)
-        out.append(Count('retries'))
-    if not [r for r in admission_state.slots_of(state, task.pool) if r not in task.avoid]:
-        return refusal.refuse(state, None, task, 'no_replica', now, out, 'no replica is left to try')
-    limit = state.policy['classes'][task.cls].get('tokens_per_minute')
-    if limit is not None and not event.again:
-        mine = limit / max(1, state.live)
-        led = ledger.age(state.limits.get(task.cls, Ledger()), now)
-        if led.total + task.hold > mine:
-            span = ms(ledger.room(led, task.hold, mine, now))
-            out.append(Count('refused.entitlement'))
-            out.append(
-                Word(
+    if event.retry:
+        if state.retry_budget < 1:
+            effects.append(Count('retries.denied'))
+            return refusal.refuse(
+                state, None, task, 'no_replica', now, effects, 'too many rounds are failing'
+            )
+        state = state._replace(retry_budget=state.retry_budget - 1)
+        effects.append(Count('retries'))
+    if not [r for r in admission_state.slots_of(state, task.pool) if r not in task.excluded_replicas]:
+        return refusal.refuse(state, None, task, 'no_replica', now, effects, 'no replica is left to try')
+    limit = state.policy['classes'][task.class_name].get('tokens_per_minute')
+    if limit is not None and not event.retry:
+        node_limit = limit / max(1, state.live_nodes)
+        entitlement = ledger.without_expired(state.entitlements.get(task.class_name, Ledger()), now)
+        if entitlement.total + task.reserved_tokens > node_limit:
+            wait_ms = ms(ledger.time_until_room(entitlement, task.reserved_tokens, node_limit, now))
+            effects.append(Count('refused.entitlement'))
+            effects.append(
+                Decision(
                     task.name,
                     None,
                     Fault(
                         'entitlement',
                         f'{limit} tokens a minute',
-                        wait_ms=max(admission_state.rules(state)['retry_floor_ms'], span),
+                        wait_ms=max(admission_state.settings(state)['retry_floor_ms'], wait_ms),
                     ).pack(),
                 )
             )
             return state
-        state = state._replace(limits=state.limits.set(task.cls, ledger.reserve(led, task.hold, now)))
+        state = state._replace(
+            entitlements=state.entitlements.set(
+                task.class_name, ledger.reserve(entitlement, task.reserved_tokens, now)
+            )
+        )
     service = service_time.expected(state, task)
-    if now + service > task.deadline and not event.again and trial(state, task, now):
+    if now + service > task.deadline and not event.retry and may_try(state, task, now):
         replica = choice.assign(state, task, now)
         if replica:
-            out.append(Count('trials'))
-            return send(state, pool, task, replica, now, out)
+            effects.append(Count('trials'))
+            return send(state, pool, task, replica, now, effects)
     if now + service > task.deadline:
-        state = refusal.unlimit(state, task, now)
+        state = refusal.release_entitlement(state, task, now)
         return refusal.refuse(
-            state, pool, task, 'shed', now, out, 'its service alone takes longer than it has'
+            state, pool, task, 'shed', now, effects, 'its service alone takes longer than it has'
         )
-    line = pool.pending.get(task.cls, ())
-    others = pool.queued and not task.urgent
-    if not line and not others:
+    queue = pool.pending.get(task.class_name, ())
+    others_wait = pool.pending_tokens and not task.urgent
+    if not queue and not others_wait:
         replica = choice.assign(state, task, now)
         if replica and throughput.fits(state, pool, task, now):
-            return send(state, pool, task, replica, now, out)
+            return send(state, pool, task, replica, now, effects)
         if (
             replica
-            and not throughput.declared(state, pool)
-            and (pool.raised is None or now - pool.raised >= SAMPLE)
+            and not throughput.has_declared_rate(state, pool)
+            and (pool.rate_raised_at is None or now - pool.rate_raised_at >= SAMPLE_INTERVAL)
         ):
-            # a slot is free and nothing waits: only the ledger holds it back, so its rate is too low
-            out.append(Count('rate.raised'))
+            # a slot is free and nothing waits: only the ledger blocks the task, so its rate is too low
+            effects.append(Count('rate.raised'))
             return send(
-                state, throughput.doubled(state, pool, task)._replace(raised=now), task, replica, now, out
+                state,
+                throughput.with_doubled_rate(state, pool, task)._replace(rate_raised_at=now),
+                task,
+                replica,
+                now,
+                effects,
             )
-    wait = throughput.wait_of(state, pool, task)
+    wait = throughput.expected_wait(state, pool, task)
     if wait + service > task.deadline - now:
-        state = refusal.unlimit(state, task, now)
+        state = refusal.release_entitlement(state, task, now)
         return refusal.refuse(
             state,
             pool,
             task,
             'shed',
             now,
-            out,
+            effects,
             f'{ms(wait)} ms of work wait before it and it has {ms(task.deadline - now)} ms',
         )
-    line = (task,) + line if event.again else line + (task,)
-    if not pool.queued:  # what drained before anything waited tells nothing of the rate
-        pool = pool._replace(span=timedelta(0), credit=0)
-        state = state if any(p.queued for p in state.pools.values()) else state._replace(ticked=now)
+    queue = (task,) + queue if event.retry else queue + (task,)
+    if not pool.pending_tokens:  # tokens that drained before anything waited do not show the drain rate
+        pool = pool._replace(drain_time=timedelta(0), drained_tokens=0)
+        state = (
+            state if any(p.pending_tokens for p in state.pools.values()) else state._replace(last_tick=now)
+        )
     pool = pool._replace(
-        pending=pool.pending.set(task.cls, line),
-        tokens=pool.tokens.set(task.cls, pool.tokens.get(task.cls, 0) + task.hold),
-        queued=pool.queued + task.hold,
+        pending=pool.pending.set(task.class_name, queue),
+        tokens_by_class=pool.tokens_by_class.set(
+            task.class_name, pool.tokens_by_class.get(task.class_name, 0) + task.reserved_tokens
+        ),
+        pending_tokens=pool.pending_tokens + task.reserved_tokens,
     )
-    out.append(Count('pending'))
-    state = waiting.order(state, pool, task.cls, out)
-    state = serve(state, task.pool, now, out)
-    return waiting.give_up(state, task.pool, task.cls, now, out)
+    effects.append(Count('pending'))
+    state = waiting.order(state, pool, task.class_name, effects)
+    state = serve(state, task.pool, now, effects)
+    return waiting.drop_overtaken(state, task.pool, task.class_name, now, effects)
 
 
-def leave(state: State, event: Leave, now: datetime, out: list) -> State:
-    """A running task ends, or a pending one is taken out."""
-    run = state.runs.get(event.name)
-    if run is None:
+def leave(state: State, event: Leave, now: datetime, effects: list) -> State:
+    """End a running task, or remove a pending one."""
+    running = state.running_tasks.get(event.name)
+    if running is None:
         for pool in state.pools.values():
-            for line in pool.pending.values():
-                for task in line:
+            for queue in pool.pending.values():
+                for task in queue:
                     if task.name == event.name:
-                        out.append(Count('withdrawn'))
-                        state = waiting.take(state, pool, task)
-                        return waiting.order(state, state.pools[pool.name], task.cls, out)
+                        effects.append(Count('withdrawn'))
+                        state = waiting.remove(state, pool, task)
+                        return waiting.order(state, state.pools[pool.name], task.class_name, effects)
         return state
-    task = run.task
+    task = running.task
     pool = state.pools[task.pool]
-    used = min(event.used, task.hold) if event.took is None else event.used
+    used = min(event.used_tokens, task.reserved_tokens) if event.took is None else event.used_tokens
     pool = pool._replace(
-        ledger=ledger.settle(pool.ledger, task.hold, used, run.at, now),
-        running=pool.running.set(task.cls, pool.running[task.cls] - 1),
-        credit=pool.credit + max(0, used - run.credited),
+        ledger=ledger.settle(pool.ledger, task.reserved_tokens, used, running.started_at, now),
+        running=pool.running.set(task.class_name, pool.running[task.class_name] - 1),
+        drained_tokens=pool.drained_tokens + max(0, used - running.credited_tokens),
     )
     state = state._replace(
         pools=state.pools.set(pool.name, pool),
-        runs=state.runs.delete(event.name),
-        used=state.used.set(run.replica, state.used[run.replica] - 1),
+        running_tasks=state.running_tasks.delete(event.name),
+        used_slots=state.used_slots.set(running.replica, state.used_slots[running.replica] - 1),
     )
-    led = state.limits.get(task.cls)
-    if led is not None:
+    entitlement = state.entitlements.get(task.class_name)
+    if entitlement is not None:
         state = state._replace(
-            limits=state.limits.set(task.cls, ledger.settle(led, task.hold, used, task.at, now))
+            entitlements=state.entitlements.set(
+                task.class_name,
+                ledger.settle(entitlement, task.reserved_tokens, used, task.arrived_at, now),
+            )
         )
     if event.took is not None:
-        state = service_time.learn(state, run, event.took)
+        state = service_time.learn(state, running, event.took)
         state = state._replace(
-            retry=min(RETRY_BURST, state.retry + admission_state.rules(state)['retry_share'])
+            retry_budget=min(
+                MAX_RETRY_BUDGET, state.retry_budget + admission_state.settings(state)['retry_share']
+            )
         )
-    return serve(state, task.pool, now, out)
+    return serve(state, task.pool, now, effects)
 
 
 def credit(state: State, event: Credit) -> State:
-    """Work done on a running task counts for the drain rate, up to what it holds."""
-    run = state.runs.get(event.name)
-    if run is None:
+    """Count tokens that a running task has processed towards the drain rate."""
+    running = state.running_tasks.get(event.name)
+    if running is None:
         return state
-    pool = state.pools[run.task.pool]
+    pool = state.pools[running.task.pool]
     return state._replace(
-        runs=state.runs.set(event.name, run._replace(credited=run.credited + event.tokens)),
-        pools=state.pools.set(pool.name, pool._replace(credit=pool.credit + event.tokens)),
+        running_tasks=state.running_tasks.set(
+            event.name, running._replace(credited_tokens=running.credited_tokens + event.tokens)
+        ),
+        pools=state.pools.set(pool.name, pool._replace(drained_tokens=pool.drained_tokens + event.tokens)),
     )
 
 
-def news(state: State, event: News, now: datetime, out: list) -> State:
-    """Take the core's news whole; anything older than what is in force is left alone."""
-    ret = event.ret
-    if ret['epoch'] < state.epoch or ret['generation'] < state.generation:
-        out.append(Count('news.old'))
+def core_update(state: State, event: News, now: datetime, effects: list) -> State:
+    """Apply the core's reply as a whole; one of an older epoch or generation is ignored."""
+    reply = event.reply
+    if reply['epoch'] < state.epoch or reply['generation'] < state.generation:
+        effects.append(Count('news.old'))
         return state
-    if ret['generation'] > state.generation:
-        if 'policy' not in ret:
-            out.append(Count('news.short'))
+    if reply['generation'] > state.generation:
+        if 'policy' not in reply:
+            effects.append(Count('news.short'))
             return state
-        out.append(Note('generation', {'generation': ret['generation'], 'leaving': sorted(ret['leaving'])}))
+        effects.append(
+            Note('generation', {'generation': reply['generation'], 'leaving': sorted(reply['leaving'])})
+        )
         state = state._replace(
-            policy=ret['policy'] or {}, generation=ret['generation'], leaving=frozenset(ret['leaving'])
+            policy=reply['policy'] or {},
+            generation=reply['generation'],
+            leaving=frozenset(reply['leaving']),
         )
-        state = waiting.outlaw(state, now, out)
+        state = waiting.refuse_removed(state, now, effects)
     lease = event.lease if state.lease is None else max(event.lease, state.lease)
-    state = state._replace(epoch=ret['epoch'], lease=lease, live=max(1, ret['live']))
-    failing = frozenset(ret.get('failing', ()))
-    state = state._replace(failing_elsewhere=failing, shunned=frozenset(ret.get('shunned', ())))
+    state = state._replace(epoch=reply['epoch'], lease=lease, live_nodes=max(1, reply['live']))
+    failing = frozenset(reply.get('failing', ()))
+    state = state._replace(failing_elsewhere=failing, ejected_by_core=frozenset(reply.get('shunned', ())))
     if state.outcomes:
         state = replica_health.without_old_outcomes(state, now)
     state = state._replace(
-        allot=ret['allot'] if 'allot' in ret else state.allot or admission_state.even(state)
+        allocation=reply['allot']
+        if 'allot' in reply
+        else state.allocation or admission_state.default_allocation(state)
     )
     for name in sorted(state.pools):
-        state = serve(state, name, now, out)
+        state = serve(state, name, now, effects)
     return state
 
 
-def listed(state: State, rows: dict, now: datetime, out: list) -> State:
-    """Take a newer list of replicas; what waits may go to those that are new in it."""
-    if rows['at'] <= state.listing.get('at', 0):
+def update_listing(state: State, listing: dict, now: datetime, effects: list) -> State:
+    """Apply a newer list of replicas; pending tasks may go to those that it adds."""
+    if listing['at'] <= state.listing.get('at', 0):
         return state
-    if rows['digest'] == state.listing.get('digest'):  # the same list, seen again
-        return state._replace(listing=rows)
-    known = {r for p in rows['pools'].values() for r in p}
+    if listing['digest'] == state.listing.get('digest'):  # the same list, looked up again
+        return state._replace(listing=listing)
+    known = {r for p in listing['pools'].values() for r in p}
     if state.listing:
-        down, served = (admission_state.only(table, known) for table in (state.down, state.served))
-        state = state._replace(down=down, served=served)
-    if rows['pools'] != state.listing.get('pools'):
-        out.append(Note('listing', {p: len(v) for p, v in sorted(rows['pools'].items())}))
-    state = state._replace(listing=rows, others=admission_state.only(state.others, known))
+        ejections, last_success = (
+            admission_state.restricted_to(table, known) for table in (state.ejections, state.last_success)
+        )
+        state = state._replace(ejections=ejections, last_success=last_success)
+    if listing['pools'] != state.listing.get('pools'):
+        effects.append(Note('listing', {p: len(v) for p, v in sorted(listing['pools'].items())}))
+    state = state._replace(listing=listing, other_load=admission_state.restricted_to(state.other_load, known))
     for name in sorted(state.pools):
-        state = serve(state, name, now, out)
+        state = serve(state, name, now, effects)
     return state
 
 
-def tick(state: State, now: datetime, out: list) -> State:
-    """Refuse what has become hopeless, measure the drain, serve what waits."""
-    span = now - state.ticked if state.ticked else timedelta(0)
-    state = replica_load.fade(state._replace(ticked=now), now)
+def tick(state: State, now: datetime, effects: list) -> State:
+    """Drop pending tasks whose deadline can no longer be met, measure the drain rates, serve what waits."""
+    elapsed = now - state.last_tick if state.last_tick else timedelta(0)
+    state = replica_load.decay(state._replace(last_tick=now), now)
     for name in sorted(state.pools):
-        for cls in sorted(state.pools[name].pending):
-            for task in state.pools[name].pending.get(cls, ()):
+        for class_name in sorted(state.pools[name].pending):
+            for task in state.pools[name].pending.get(class_name, ()):
                 if now + service_time.expected(state, task) > task.deadline:
                     text = 'its deadline can no longer be met'
-                    state = waiting.drop(state, task, 'hopeless', text, now, out)
-            state = waiting.order(state, state.pools[name], cls, out)
-            state = waiting.give_up(state, name, cls, now, out)
-        state = throughput.measure(state, state.pools[name], span)
-        state = serve(state, name, now, out)
+                    state = waiting.drop(state, task, 'hopeless', text, now, effects)
+            state = waiting.order(state, state.pools[name], class_name, effects)
+            state = waiting.drop_overtaken(state, name, class_name, now, effects)
+        state = throughput.measure(state, state.pools[name], elapsed)
+        state = serve(state, name, now, effects)
     return state
 
 
 def step(state: State, event: Any, now: datetime) -> tuple[State, tuple]:
-    """The next state and the effects of any event.
+    """Return the next state and the effects of an event.
 
-    With no lease nothing is sent:
+    Without a lease nothing is sent:
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> task = Task('t', 'r', 'c', 'p', 10, t + SAMPLE, t)
+    >>> task = Task('t', 'r', 'c', 'p', 10, t + SAMPLE_INTERVAL, t)
     >>> s, e = step(State(), Arrive(task), t); e[-1].fault['fault']
     'no_lease'
     """
-    out: list = []
+    effects: list = []
     kind = type(event)
     if kind is Arrive:
-        state = arrive(state, event, now, out)
+        state = arrive(state, event, now, effects)
     elif kind is Leave:
-        state = leave(state, event, now, out)
+        state = leave(state, event, now, effects)
     elif kind is Credit:
         state = credit(state, event)
     elif kind is News:
-        state = news(state, event, now, out)
+        state = core_update(state, event, now, effects)
     elif kind is Health:
-        state = replica_health.health(state, event, now, out)
+        state = replica_health.update(state, event, now, effects)
     elif kind is Report:
-        state = replica_health.reported(state, event, now)
+        state = replica_health.apply_probe(state, event, now)
     elif kind is Load:
-        state = replica_load.loaded(state, event, now)
-        for name in [n for n, p in state.pools.items() if p.queued]:
-            state = serve(state, name, now, out)
+        state = replica_load.update(state, event, now)
+        for name in [n for n, p in state.pools.items() if p.pending_tokens]:
+            state = serve(state, name, now, effects)
     elif kind is Listing:
-        state = listed(state, event.rows, now, out)
+        state = update_listing(state, event.rows, now, effects)
     elif kind is Tick:
-        state = tick(state, now, out)
+        state = tick(state, now, effects)
     elif kind is Drain:
-        state = waiting.drain(state, now, out)
-    return state, tuple(out)
+        state = waiting.drain(state, now, effects)
+    return state, tuple(effects)
--- a/src/quillstall/dataplane/admission/service_time.py
+++ b/src/quillstall/dataplane/admission/service_time.py
@@ -1,103 +1,109 @@
-"""How long a task's own service takes, learned by route, and apart where its shared prompt is new."""
+"""Estimates of the service time by route, with a separate estimate for tasks whose shared prefix is not cached."""
 
 from datetime import timedelta
 
-from quillstall.dataplane.admission.admission_state import Run, Service, State, Task
+from quillstall.dataplane.admission.admission_state import RunningTask, ServiceTime, State, Task
 
-SERVICE_BLEND = 0.1  # how much the newest service time counts
-READ_MOST = 256  # shared prompts remembered as read, a replica
+SERVICE_TIME_SMOOTHING = 0.1  # weight of the newest service time in the moving average
+MAX_CACHED_PREFIXES = 256  # remembered for one replica
 
 
 def expected(state: State, task: Task) -> timedelta:
-    """How long the task's own service should take.
+    """Return the task's expected service time.
 
-    >>> expected(State(), Task('t', 'r', 'c', 'p', 1, None, None, prior=timedelta(seconds=1))) == timedelta(seconds=1)
+    >>> expected(State(), Task('t', 'r', 'c', 'p', 1, None, None, prior_service_time=timedelta(seconds=1))) == timedelta(seconds=1)
     True
     """
-    known = state.service.get(task.route)
-    return known.expected if known else task.prior
+    known = state.service_times.get(task.route)
+    return known.expected if known else task.prior_service_time
 
 
 def is_cold(state: State, task: Task, replica: str) -> bool:
-    """Whether a replica has yet to read the prompt that a task shares with others.
+    """Return whether the replica does not have the task's shared prefix cached.
 
     >>> from immutables import Map
-    >>> task = Task('t', 'r', 'c', 'p', 1, None, None, warm='shared')
-    >>> is_cold(State(), task, 'a'), is_cold(State(read=Map({'a': frozenset({'shared'})})), task, 'a')
+    >>> task = Task('t', 'r', 'c', 'p', 1, None, None, shared_prefix='shared')
+    >>> is_cold(State(), task, 'a'), is_cold(State(cached_prefixes=Map({'a': frozenset({'shared'})})), task, 'a')
     (True, False)
-    >>> is_cold(State(), task._replace(prefer='a'), 'a')
+    >>> is_cold(State(), task._replace(preferred_replica='a'), 'a')
     False
     """
-    return bool(task.warm) and replica != task.prefer and task.warm not in state.read.get(replica, ())
+    return (
+        bool(task.shared_prefix)
+        and replica != task.preferred_replica
+        and task.shared_prefix not in state.cached_prefixes.get(replica, ())
+    )
 
 
 def expected_at(state: State, task: Task, replica: str) -> timedelta:
-    """How long the task's own service should take at a replica: longer where its prompt is new.
+    """Return the task's expected service time at a replica: longer where its shared prefix is not cached.
 
     >>> from immutables import Map
-    >>> task = Task('t', 'r', 'c', 'p', 1, None, None, warm='shared')
-    >>> s = State(service=Map({'r': Service(0.2, 0.0)}), cold_service=Map({'r': Service(0.9, 0.0)}))
+    >>> task = Task('t', 'r', 'c', 'p', 1, None, None, shared_prefix='shared')
+    >>> s = State(service_times=Map({'r': ServiceTime(0.2, 0.0)}), cold_service_times=Map({'r': ServiceTime(0.9, 0.0)}))
     >>> [span.total_seconds() for span in (expected(s, task), expected_at(s, task, 'a'))]
     [0.2, 0.9]
     """
     usual = expected(state, task)
     if not is_cold(state, task, replica):
         return usual
-    known = state.cold_service.get(task.route)
-    return max(usual, known.expected if known else task.prior)
+    known = state.cold_service_times.get(task.route)
+    return max(usual, known.expected if known else task.prior_service_time)
 
 
-def least_time(state: State, task: Task, replica: str) -> timedelta:
-    """The time a task must have left to be sent to a replica: what it should take there. One that was let
-    go on trial, since its route has lately been too slow for it, needs what its route is declared to take.
+def required_time(state: State, task: Task, replica: str) -> timedelta:
+    """Return the time that a task must have left to be sent to a replica: its expected service time there, or
+    the declared one for a task that is sent on trial, since its route has recently been too slow for it.
 
     >>> from immutables import Map
     >>> from datetime import UTC, datetime
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> task = Task('t', 'r', 'c', 'p', 1, t + 4 * timedelta(seconds=1), t, prior=timedelta(seconds=1))
-    >>> [least_time(State(service=Map({'r': Service(n, 0.0)})), task, 'a').seconds for n in (3.0, 5.0)]
+    >>> task = Task('t', 'r', 'c', 'p', 1, t + 4 * timedelta(seconds=1), t, prior_service_time=timedelta(seconds=1))
+    >>> [required_time(State(service_times=Map({'r': ServiceTime(n, 0.0)})), task, 'a').seconds for n in (3.0, 5.0)]
     [3, 1]
     """
     service = expected_at(state, task, replica)
-    return service if service <= task.deadline - task.at else min(service, task.prior)
+    return service if service <= task.deadline - task.arrived_at else min(service, task.prior_service_time)
 
 
-def learned(known: Service | None, task: Task, took: timedelta) -> Service:
-    """What is known of a service time after one more task; the first is weighed against the prior.
+def with_task(known: ServiceTime | None, task: Task, took: timedelta) -> ServiceTime:
+    """Return an estimate updated by one more task; the first is averaged with the prior.
 
-    >>> learned(None, Task('t', 'r', 'c', 'p', 1, None, None, prior=timedelta(seconds=1)), 3 * timedelta(seconds=1))
-    Service(mean=2.0, dev=1.0)
+    >>> with_task(None, Task('t', 'r', 'c', 'p', 1, None, None, prior_service_time=timedelta(seconds=1)), 3 * timedelta(seconds=1))
+    ServiceTime(mean=2.0, deviation=1.0)
     """
-    span = took.total_seconds()
+    seconds = took.total_seconds()
     if known is None:
-        prior = task.prior.total_seconds()
-        return Service((span + prior) / 2, abs(span - prior) / 2)
-    return blended(known, span)
+        prior = task.prior_service_time.total_seconds()
+        return ServiceTime((seconds + prior) / 2, abs(seconds - prior) / 2)
+    return smoothed(known, seconds)
 
 
-def blended(known: Service, span: float) -> Service:
-    """Mean and mean deviation after one more time, in seconds.
+def smoothed(known: ServiceTime, seconds: float) -> ServiceTime:
+    """Return the moving averages of mean and mean deviation after one more time.
 
-    >>> blended(Service(1.0, 0.0), 2.0)
-    Service(mean=1.1, dev=0.1)
+    >>> smoothed(ServiceTime(1.0, 0.0), 2.0)
+    ServiceTime(mean=1.1, deviation=0.1)
     """
-    return Service(
-        known.mean + SERVICE_BLEND * (span - known.mean),
-        known.dev + SERVICE_BLEND * (abs(span - known.mean) - known.dev),
+    return ServiceTime(
+        known.mean + SERVICE_TIME_SMOOTHING * (seconds - known.mean),
+        known.deviation + SERVICE_TIME_SMOOTHING * (abs(seconds - known.mean) - known.deviation),
     )
 
 
-def learn(state: State, run: Run, took: timedelta) -> State:
-    """Take in how long a task's service took, and that its replica has read its shared prompt."""
-    task, replica = run.task, run.replica
+def learn(state: State, running: RunningTask, took: timedelta) -> State:
+    """Return the state with a task's service time recorded, and its shared prefix as cached at its replica."""
+    task, replica = running.task, running.replica
     state = state._replace(
-        service=state.service.set(task.route, learned(state.service.get(task.route), task, took))
+        service_times=state.service_times.set(
+            task.route, with_task(state.service_times.get(task.route), task, took)
+        )
     )
-    if not task.warm or task.warm in state.read.get(replica, ()):
+    if not task.shared_prefix or task.shared_prefix in state.cached_prefixes.get(replica, ()):
         return state
     if is_cold(state, task, replica):
-        cold = learned(state.cold_service.get(task.route), task, took)
-        state = state._replace(cold_service=state.cold_service.set(task.route, cold))
-    read = state.read.get(replica, frozenset())
-    kept = read if len(read) < READ_MOST else frozenset()
-    return state._replace(read=state.read.set(replica, kept | {task.warm}))
+        cold = with_task(state.cold_service_times.get(task.route), task, took)
+        state = state._replace(cold_service_times=state.cold_service_times.set(task.route, cold))
+    cached = state.cached_prefixes.get(replica, frozenset())
+    kept = cached if len(cached) < MAX_CACHED_PREFIXES else frozenset()
+    return state._replace(cached_prefixes=state.cached_prefixes.set(replica, kept | {task.shared_prefix}))
--- a/src/quillstall/dataplane/admission/throughput.py
+++ b/src/quillstall/dataplane/admission/throughput.py
@@ -1,57 +1,60 @@
-"""The rate at which tokens drain, and the wait that follows from it."""
+"""The rate at which reserved tokens drain, and the wait that follows from it."""
 
 from datetime import datetime, timedelta
 
 from quillstall.dataplane import ledger
 from quillstall.dataplane.admission import admission_state, service_time
-from quillstall.dataplane.admission.admission_state import SAMPLE, Pool, State, Task
+from quillstall.dataplane.admission.admission_state import SAMPLE_INTERVAL, Pool, State, Task
 
-RATE_BLEND = 0.3  # how much the newest measured rate counts
+RATE_SMOOTHING = 0.3  # weight of the newest measured rate in the moving average
 
 
 def drain_rate(state: State, pool: Pool, task: Task) -> float:
-    """Tokens a second that this node's slots work off: measured, or the policy's, or the prior.
+    """Return the tokens per second that this node's slots drain: the measured rate, else the policy's, else
+    an estimate from the task's expected service time.
 
-    >>> s = State(policy={'pools': {'p': {'replicas': {'r': {'slots': 4, 'tokens_per_s': 400.0}}}}}, allot={'r': 2})
+    >>> s = State(policy={'pools': {'p': {'replicas': {'r': {'slots': 4, 'tokens_per_s': 400.0}}}}}, allocation={'r': 2})
     >>> drain_rate(s, Pool('p'), Task('t', 'r', 'c', 'p', 10, None, None))
     200.0
     >>> drain_rate(s, Pool('p', slot_rate=7.0), Task('t', 'r', 'c', 'p', 10, None, None))
     14.0
     """
     slots = admission_state.slots_of(state, pool.name)
-    spec = admission_state.replicas_of(state, pool.name)
-    if pool.slot_rate is not None and not declared(state, pool):
+    replicas = admission_state.replicas_of(state, pool.name)
+    if pool.slot_rate is not None and not has_declared_rate(state, pool):
         return pool.slot_rate * sum(slots.values())
     if pool.slot_rate is not None:
         return sum(
             n
             * min(
                 pool.slot_rate,
-                spec[r]['tokens_per_s'] / spec[r]['slots'] if 'tokens_per_s' in spec[r] else pool.slot_rate,
+                replicas[r]['tokens_per_s'] / replicas[r]['slots']
+                if 'tokens_per_s' in replicas[r]
+                else pool.slot_rate,
             )
             for r, n in slots.items()
         )
-    prior = task.hold / max(0.001, service_time.expected(state, task).total_seconds())
+    prior = task.reserved_tokens / max(0.001, service_time.expected(state, task).total_seconds())
     return sum(
-        n * (spec[r]['tokens_per_s'] / spec[r]['slots'] if 'tokens_per_s' in spec[r] else prior)
+        n * (replicas[r]['tokens_per_s'] / replicas[r]['slots'] if 'tokens_per_s' in replicas[r] else prior)
         for r, n in slots.items()
     )
 
 
-def declared(state: State, pool: Pool) -> bool:
-    """Whether operators have declared a rate of this pool: it is a budget, and no measurement raises it.
+def has_declared_rate(state: State, pool: Pool) -> bool:
+    """Return whether the policy declares a rate for this pool: it is a budget, and no measurement raises it.
 
     >>> s = State(policy={'pools': {'p': {'replicas': {'r': {'slots': 1, 'tokens_per_s': 4.0}}}}})
-    >>> declared(s, Pool('p')), declared(State(), Pool('p'))
+    >>> has_declared_rate(s, Pool('p')), has_declared_rate(State(), Pool('p'))
     (True, False)
     """
     return any('tokens_per_s' in v for v in admission_state.replicas_of(state, pool.name).values())
 
 
-def doubled(state: State, pool: Pool, task: Task) -> Pool:
-    """The pool with twice the rate a slot, measured or not: it held work back beside free slots.
+def with_doubled_rate(state: State, pool: Pool, task: Task) -> Pool:
+    """Return the pool with twice its drain rate per slot, since the old one kept work waiting beside free slots.
 
-    >>> doubled(State(allot={'r': 2}, policy={'pools': {'p': {'replicas': {'r': {}}}}}), Pool('p', slot_rate=7.0), None).slot_rate
+    >>> with_doubled_rate(State(allocation={'r': 2}, policy={'pools': {'p': {'replicas': {'r': {}}}}}), Pool('p', slot_rate=7.0), None).slot_rate
     14.0
     """
     return pool._replace(
@@ -59,9 +62,9 @@
     )
 
 
-def share_of(state: State, pool: Pool, cls: str) -> float:
-    """The part of the pool's drain that a class can count on: its share among the classes that
-    want any now. What the others leave idle is its to borrow.
+def share_of(state: State, pool: Pool, class_name: str) -> float:
+    """Return the fraction of the pool's drain rate that a class can count on: its share among the classes that
+    have work. Capacity that other classes leave idle is borrowed.
 
     >>> from immutables import Map
     >>> s = State(policy={'classes': {'a': {'share': 60}, 'b': {'share': 20}}})
@@ -69,63 +72,69 @@
     (1.0, 0.75)
     """
     classes = state.policy['classes']
-    if classes[cls].get('urgent'):
+    if classes[class_name].get('urgent'):
         return 1.0
-    want = [
+    competing = [
         c
         for c in classes
-        if c != cls and not classes[c].get('urgent') and (pool.running.get(c, 0) or pool.pending.get(c))
+        if c != class_name
+        and not classes[c].get('urgent')
+        and (pool.running.get(c, 0) or pool.pending.get(c))
     ]
-    mine = classes[cls]['share']
-    return mine / (mine + sum(classes[c]['share'] for c in want))
+    own_share = classes[class_name]['share']
+    return own_share / (own_share + sum(classes[c]['share'] for c in competing))
 
 
-def wait_of(state: State, pool: Pool, task: Task) -> timedelta:
-    """The paper's wait: the class's pending tokens and this hold, over the rate they drain at."""
-    rate = drain_rate(state, pool, task) * share_of(state, pool, task.cls)
+def expected_wait(state: State, pool: Pool, task: Task) -> timedelta:
+    """Return the wait as the paper defines it: the class's pending tokens and this task's reservation, divided
+    by the rate at which they drain."""
+    rate = drain_rate(state, pool, task) * share_of(state, pool, task.class_name)
     if rate <= 0:
         return timedelta(hours=1)
-    ahead = pool.tokens.get(task.cls, 0)
-    if not state.policy['classes'][task.cls].get('urgent'):
+    ahead = pool.tokens_by_class.get(task.class_name, 0)
+    if not state.policy['classes'][task.class_name].get('urgent'):
         ahead += sum(
             n
-            for c, n in pool.tokens.items()
-            if c != task.cls and state.policy['classes'].get(c, {}).get('urgent')
+            for c, n in pool.tokens_by_class.items()
+            if c != task.class_name and state.policy['classes'].get(c, {}).get('urgent')
         )
-    return timedelta(seconds=min(3600.0, (ahead + task.hold) / rate))
+    return timedelta(seconds=min(3600.0, (ahead + task.reserved_tokens) / rate))
 
 
 def fits(state: State, pool: Pool, task: Task, now: datetime) -> bool:
-    """Whether the ledger of the rolling minute takes the task's hold."""
+    """Return whether the pool's ledger of the last minute has room for the task's reservation."""
     budget = drain_rate(state, pool, task) * ledger.MINUTE
-    led = ledger.age(pool.ledger, now)
-    return led.total == 0 or led.total + task.hold <= max(budget, task.hold)
+    last_minute = ledger.without_expired(pool.ledger, now)
+    return last_minute.total == 0 or last_minute.total + task.reserved_tokens <= max(
+        budget, task.reserved_tokens
+    )
 
 
-def measure(state: State, pool: Pool, span: timedelta) -> State:
-    """Blend what drained in the last second into the rate, if the pool was full all that time."""
+def measure(state: State, pool: Pool, elapsed: timedelta) -> State:
+    """Return the state with the drain rate updated once a sample interval is complete, if the pool was
+    saturated all that time."""
     slots = admission_state.slots_of(state, pool.name)
-    if not pool.queued and not pool.span and not pool.credit:
+    if not pool.pending_tokens and not pool.drain_time and not pool.drained_tokens:
         return state
-    full = pool.queued > 0 and all(state.used.get(r, 0) >= n for r, n in slots.items())
-    spare = any(state.used.get(r, 0) < n for r, n in slots.items() if r not in state.down)
-    if pool.queued and spare and not declared(state, pool):
-        # work waits beside free slots: the ledger holds it back, so the rate was measured too low
-        pool = pool._replace(span=pool.span + span, credit=0)
-        if pool.span >= SAMPLE:
-            task = next(line[0] for line in pool.pending.values())
-            pool = doubled(state, pool, task)._replace(span=timedelta(0))
-    elif not full or not sum(slots.values()):
-        pool = pool._replace(span=timedelta(0), credit=0)
+    saturated = pool.pending_tokens > 0 and all(state.used_slots.get(r, 0) >= n for r, n in slots.items())
+    slot_free = any(state.used_slots.get(r, 0) < n for r, n in slots.items() if r not in state.ejections)
+    if pool.pending_tokens and slot_free and not has_declared_rate(state, pool):
+        # work waits beside free slots: the ledger blocks it, so the rate was measured too low
+        pool = pool._replace(drain_time=pool.drain_time + elapsed, drained_tokens=0)
+        if pool.drain_time >= SAMPLE_INTERVAL:
+            task = next(queue[0] for queue in pool.pending.values())
+            pool = with_doubled_rate(state, pool, task)._replace(drain_time=timedelta(0))
+    elif not saturated or not sum(slots.values()):
+        pool = pool._replace(drain_time=timedelta(0), drained_tokens=0)
     else:
-        pool = pool._replace(span=pool.span + span)
-        if pool.span >= SAMPLE:
-            seen = pool.credit / pool.span.total_seconds() / sum(slots.values())
+        pool = pool._replace(drain_time=pool.drain_time + elapsed)
+        if pool.drain_time >= SAMPLE_INTERVAL:
+            measured = pool.drained_tokens / pool.drain_time.total_seconds() / sum(slots.values())
             old = pool.slot_rate
             if old is None:
-                spec = admission_state.replicas_of(state, pool.name)
-                told = [v['tokens_per_s'] / v['slots'] for v in spec.values() if 'tokens_per_s' in v]
-                old = sum(told) / len(told) if told else seen
-            rate = max(old / 4, old + RATE_BLEND * (seen - old))
-            pool = pool._replace(slot_rate=rate or None, span=timedelta(0), credit=0)
+                replicas = admission_state.replicas_of(state, pool.name)
+                declared = [v['tokens_per_s'] / v['slots'] for v in replicas.values() if 'tokens_per_s' in v]
+                old = sum(declared) / len(declared) if declared else measured
+            rate = max(old / 4, old + RATE_SMOOTHING * (measured - old))
+            pool = pool._replace(slot_rate=rate or None, drain_time=timedelta(0), drained_tokens=0)
     return state._replace(pools=state.pools.set(pool.name, pool))
--- a/src/quillstall/dataplane/admission/waiting.py
+++ b/src/quillstall/dataplane/admission/waiting.py
@@ -1,26 +1,29 @@
-"""Tasks that wait: their order, and when each is given up."""
+"""Pending tasks: the order in which they are served, and when each is dropped."""
 
 from datetime import datetime, timedelta
 
 from quillstall.dataplane.admission import admission_state, refusal, service_time, throughput
 from quillstall.dataplane.admission.admission_state import Pool, State, Task
-from quillstall.dataplane.admission.refusal import NO_PLACE
+from quillstall.dataplane.admission.refusal import NOT_IN_POLICY
 from quillstall.runtime.effect import Count
 
 
-def take(state: State, pool: Pool, task: Task) -> State:
-    """The state without a pending task."""
-    line = tuple(t for t in pool.pending[task.cls] if t.name != task.name)
+def remove(state: State, pool: Pool, task: Task) -> State:
+    """Return the state without a pending task."""
+    queue = tuple(t for t in pool.pending[task.class_name] if t.name != task.name)
     pool = pool._replace(
-        pending=pool.pending.set(task.cls, line) if line else pool.pending.delete(task.cls),
-        tokens=pool.tokens.set(task.cls, pool.tokens[task.cls] - task.hold),
-        queued=pool.queued - task.hold,
+        pending=pool.pending.set(task.class_name, queue) if queue else pool.pending.delete(task.class_name),
+        tokens_by_class=pool.tokens_by_class.set(
+            task.class_name, pool.tokens_by_class[task.class_name] - task.reserved_tokens
+        ),
+        pending_tokens=pool.pending_tokens - task.reserved_tokens,
     )
     return state._replace(pools=state.pools.set(pool.name, pool))
 
 
 def next_class(state: State, pool: Pool, skip: set) -> str | None:
-    """Whose turn it is: urgent classes first, then the one furthest below its share."""
+    """Return the class to serve next, None if none is pending: urgent ones first, then the one furthest below
+    its share."""
     classes = state.policy['classes']
     names = [c for c in pool.pending if c not in skip]
     if not names:
@@ -35,106 +38,107 @@
     )
 
 
-def order(state: State, pool: Pool, cls: str, out: list) -> State:
-    """Turn to newest-first when a class's pending work is deep, back when it is shallow."""
-    line = pool.pending.get(cls, ())
-    newest = pool.newest.get(cls, False)
-    rule = admission_state.rules(state)
-    if line and admission_state.uses(state, 'newest_first'):
-        rate = throughput.drain_rate(state, pool, line[0]) * throughput.share_of(state, pool, cls)
-        depth = pool.tokens.get(cls, 0) / rate if rate > 0 else 3600.0
-        patience = state.policy['classes'][cls]['deadline_ms'] / 1000
-        if not newest and depth > rule['newest_first_at'] * patience:
-            newest = True
-        elif newest and depth < rule['fifo_at'] * patience:
-            newest = False
+def order(state: State, pool: Pool, class_name: str, effects: list) -> State:
+    """Return the state with a class's queue switched to newest-first if it is deep, to first-in-first-out if it
+    is shallow again."""
+    queue = pool.pending.get(class_name, ())
+    newest_first = pool.newest_first.get(class_name, False)
+    settings = admission_state.settings(state)
+    if queue and admission_state.mechanism_enabled(state, 'newest_first'):
+        rate = throughput.drain_rate(state, pool, queue[0]) * throughput.share_of(state, pool, class_name)
+        depth_s = pool.tokens_by_class.get(class_name, 0) / rate if rate > 0 else 3600.0
+        deadline_s = state.policy['classes'][class_name]['deadline_ms'] / 1000
+        if not newest_first and depth_s > settings['newest_first_at'] * deadline_s:
+            newest_first = True
+        elif newest_first and depth_s < settings['fifo_at'] * deadline_s:
+            newest_first = False
     else:
-        newest = False
-    if newest != pool.newest.get(cls, False):
-        out.append(Count('order.newest' if newest else 'order.fifo'))
-        pool = pool._replace(newest=pool.newest.set(cls, newest))
+        newest_first = False
+    if newest_first != pool.newest_first.get(class_name, False):
+        effects.append(Count('order.newest' if newest_first else 'order.fifo'))
+        pool = pool._replace(newest_first=pool.newest_first.set(class_name, newest_first))
     return state._replace(pools=state.pools.set(pool.name, pool))
 
 
-def overtaken(state: State, pool: Pool, cls: str, now: datetime) -> list[Task]:
-    """The pending tasks of a class whose place in the order of serving can no longer be reached in time:
-    what is served before each, and itself, drains too late for its own service to fit.
+def overtaken(state: State, pool: Pool, class_name: str, now: datetime) -> list[Task]:
+    """Return the pending tasks of a class that cannot be served in time at their position in the queue: what is
+    ahead of each drains too late for its own service to end before its deadline.
 
     >>> from immutables import Map
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> s = State(policy={'classes': {'c': {'share': 1}}, 'pools': {'p': {'replicas': {'r': {'slots': 1}}}}}, allot={'r': 1})
-    >>> line = tuple(Task(f't{n}', 'r', 'c', 'p', 100, t + 4 * timedelta(seconds=1), t) for n in range(4))
-    >>> pool = Pool('p', pending=Map({'c': line}), newest=Map({'c': True}), slot_rate=100.0)
+    >>> s = State(policy={'classes': {'c': {'share': 1}}, 'pools': {'p': {'replicas': {'r': {'slots': 1}}}}}, allocation={'r': 1})
+    >>> queue = tuple(Task(f't{n}', 'r', 'c', 'p', 100, t + 4 * timedelta(seconds=1), t) for n in range(4))
+    >>> pool = Pool('p', pending=Map({'c': queue}), newest_first=Map({'c': True}), slot_rate=100.0)
     >>> [task.name for task in overtaken(s, pool, 'c', t)]
     ['t0']
     """
-    line = pool.pending.get(cls, ())
-    if not line:
+    queue = pool.pending.get(class_name, ())
+    if not queue:
         return []
-    rate = throughput.drain_rate(state, pool, line[0]) * throughput.share_of(state, pool, cls)
+    rate = throughput.drain_rate(state, pool, queue[0]) * throughput.share_of(state, pool, class_name)
     if rate <= 0:
         return []
-    out, ahead = [], 0
-    for task in reversed(line) if pool.newest.get(cls) else line:
-        wait = timedelta(seconds=min(3600.0, (ahead + task.hold) / rate))
+    late, ahead = [], 0
+    for task in reversed(queue) if pool.newest_first.get(class_name) else queue:
+        wait = timedelta(seconds=min(3600.0, (ahead + task.reserved_tokens) / rate))
         if now + wait + service_time.expected(state, task) > task.deadline:
-            out.append(task)
+            late.append(task)
         else:
-            ahead += task.hold
-    return out
+            ahead += task.reserved_tokens
+    return late
 
 
-def give_up(state: State, name: str, cls: str, now: datetime, out: list) -> State:
-    """Refuse, at the moment it is known, what can no longer be reached in time."""
-    for task in overtaken(state, state.pools[name], cls, now):
+def drop_overtaken(state: State, name: str, class_name: str, now: datetime, effects: list) -> State:
+    """Refuse pending tasks as soon as it is known that they cannot be served in time."""
+    for task in overtaken(state, state.pools[name], class_name, now):
         text = 'newer work goes first, and no time is left after it'
-        state = drop(state, task, 'overtaken', text, now, out)
+        state = drop(state, task, 'overtaken', text, now, effects)
     return state
 
 
-def drop(state: State, task: Task, why: str, text: str, now: datetime, out: list) -> State:
-    """Refuse a pending task that no time is left for; `why` is what it is counted under."""
-    out.append(Count(f'dropped.{why}'))
-    state = take(state, state.pools[task.pool], task)
-    return refusal.refuse(state, state.pools[task.pool], task, 'hopeless', now, out, text)
+def drop(state: State, task: Task, reason: str, text: str, now: datetime, effects: list) -> State:
+    """Refuse a pending task for which no time is left; `reason` names its counter."""
+    effects.append(Count(f'dropped.{reason}'))
+    state = remove(state, state.pools[task.pool], task)
+    return refusal.refuse(state, state.pools[task.pool], task, 'hopeless', now, effects, text)
 
 
-def outlaw(state: State, now: datetime, out: list) -> State:
-    """Pending tasks whose class or pool the new policy does not have are refused."""
+def refuse_removed(state: State, now: datetime, effects: list) -> State:
+    """Refuse pending tasks whose class or pool is not in the new policy."""
     for name in sorted(state.pools):
-        for cls in sorted(state.pools[name].pending):
-            if admission_state.has_place(state, name, cls):
+        for class_name in sorted(state.pools[name].pending):
+            if admission_state.in_policy(state, name, class_name):
                 continue
-            for task in state.pools[name].pending.get(cls, ()):
-                state = take(state, state.pools[name], task)
-                state = refusal.refuse(state, None, task, 'no_replica', now, out, NO_PLACE)
+            for task in state.pools[name].pending.get(class_name, ()):
+                state = remove(state, state.pools[name], task)
+                state = refusal.refuse(state, None, task, 'no_replica', now, effects, NOT_IN_POLICY)
     return state
 
 
-def drain(state: State, now: datetime, out: list) -> State:
-    """Refuse all that is pending; from now on refuse what arrives."""
+def drain(state: State, now: datetime, effects: list) -> State:
+    """Refuse all pending tasks, and from now on each that arrives."""
     state = state._replace(draining=True)
     for name in sorted(state.pools):
-        for cls in sorted(state.pools[name].pending):
-            for task in state.pools[name].pending.get(cls, ()):
-                state = take(state, state.pools[name], task)
-                state = refusal.refuse(state, None, task, 'draining', now, out)
+        for class_name in sorted(state.pools[name].pending):
+            for task in state.pools[name].pending.get(class_name, ()):
+                state = remove(state, state.pools[name], task)
+                state = refusal.refuse(state, None, task, 'draining', now, effects)
     return state
 
 
-def wake(state: State) -> datetime | None:
-    """When the next pending task becomes hopeless: the clock event to set.
+def next_expiry(state: State) -> datetime | None:
+    """Return when the first pending task will no longer have time for its service, None if none is pending.
 
-    >>> wake(State()) is None
+    >>> next_expiry(State()) is None
     True
     """
     return min(
         (
-            t.deadline - service_time.expected(state, t)
-            for p in state.pools.values()
-            for line in p.pending.values()
-            for t in line
+            task.deadline - service_time.expected(state, task)
+            for pool in state.pools.values()
+            for queue in pool.pending.values()
+            for task in queue
         ),
         default=None,
     )
--- a/src/quillstall/dataplane/gateway.py
+++ b/src/quillstall/dataplane/gateway.py
@@ -17,14 +17,14 @@
 
 from quillstall.dataplane import dialect as words
 from quillstall.dataplane.admission import admission_state, refusal, service_time
-from quillstall.dataplane.admission.admission_state import Service, Task
+from quillstall.dataplane.admission.admission_state import ServiceTime, Task
 from quillstall.dataplane.admission.messages import Credit, Drain, Health, Leave, Load
 from quillstall.dataplane.chains import Chains, Link
 from quillstall.dataplane.dialect import Dialect, Request
 from quillstall.dataplane.events import Events
 from quillstall.dataplane.failures import Attempt, Failures
 from quillstall.dataplane.keyed import KeyedOperations, WholeAnswer
-from quillstall.dataplane.prefixes import Prefixes
+from quillstall.dataplane.prefixes import PrefixIndex
 from quillstall.dataplane.routetable import RouteTable
 from quillstall.dataplane.stalls import StallWatch, stall_limit, usual_silence
 from quillstall.network.httpclient import AnswerTest, Exchange, HttpClient
@@ -71,12 +71,12 @@
         self.door: Listener | None = None
         self.keyed = KeyedOperations(node, dialect)
         self.chains = Chains()
-        self.prefixes = Prefixes()
+        self.prefixes = PrefixIndex()
         self.routes = RouteTable({})
         self.routes_of = -1  # the generation that they are of
         self.parts: dict[str, float] = {}  # route -> where its next request without a home stands in a split
         self.failures = Failures(self.ctx.clock, self.ctx.journal)
-        self.silences: dict[str, Service] = {}  # route -> the longest silences of its turns
+        self.silences: dict[str, ServiceTime] = {}  # route -> the longest silences of its turns
         self.leaving = False
         self.last_answers: datetime | None = None  # while it stops: when requests get their last answers
 
@@ -254,7 +254,7 @@
         hold = 1
         if route.get('stream'):
             hold = max(2, request.prompt_tokens + request.max_tokens)
-            unread = self.prefixes.unread(
+            unread = self.prefixes.uncached_tokens(
                 list(admission_state.replicas_of(state, pool)), request.session or '', request.parts
             )
         return Task(
@@ -266,8 +266,10 @@
             deadline,
             start,
             state.policy['classes'][cls].get('urgent', False),
-            prior=min((deadline - start) * PRIOR_PART, of_ms(int(route.get('target_ms') or 600_000))),
-            unread=unread,
+            prior_service_time=min(
+                (deadline - start) * PRIOR_PART, of_ms(int(route.get('target_ms') or 600_000))
+            ),
+            uncached_tokens=unread,
             zone=self.ctx.startup['zone'],
         )
 
@@ -278,7 +280,7 @@
         return [
             r
             for r in admission_state.replicas_of(state, task.pool)
-            if r not in (replica, *task.avoid, *state.down)
+            if r not in (replica, *task.excluded_replicas, *state.ejections)
         ]
 
     def matches(self, request: Request) -> AnswerTest:
@@ -403,7 +405,7 @@
 
     def patience(self, task: Task, deadline: datetime) -> datetime:
         """How long an answer of work that may be repeated is waited for where another replica could take it."""
-        if not admission_state.uses(self.node.state, 'patience'):
+        if not admission_state.mechanism_enabled(self.node.state, 'patience'):
             return deadline
         span = max(PATIENCE_LEAST, service_time.expected(self.node.state, task) * PATIENCE_TIMES)
         return min(deadline, self.ctx.clock.now() + span)
@@ -411,12 +413,12 @@
     def health(self, replica: str, fault: Fault | None, status: int = 200) -> None:
         """What an attempt says of a replica: its fault, or the status that was passed on."""
         if fault is None:
-            self.node.tell(Health(replica, True, erred=status >= 500))
+            self.node.tell(Health(replica, True, error_response=status >= 500))
         elif fault.code not in ('gone', 'hopeless') and not fault.more.get('ours'):
             full = fault.more.get('full', False)
             refused = fault.code == 'unreachable' and not full
             stalled = fault.more.get('stalled', False)
-            self.node.tell(Health(replica, False, not refused, stalled, full=full))
+            self.node.tell(Health(replica, False, not refused, stalled, at_capacity=full))
 
     def attempt_failed(
         self, replica: str, exchange: Exchange | None, fault: Fault, start: datetime, out: Any
@@ -435,7 +437,7 @@
 
     def stall_watch(self, name: str, task: Task, replica: str, deadline: datetime, moves: bool) -> StallWatch:
         """The watch over one stream of a route; `moves`: it may go on at another replica."""
-        on = admission_state.uses(self.node.state, 'silence')
+        on = admission_state.mechanism_enabled(self.node.state, 'silence')
         return StallWatch(
             self.ctx.clock,
             stall_limit(self.silences.get(name)) if on else None,
@@ -643,7 +645,7 @@
                         self.health(replica, None, exchange.status)
                         await out.whole(exchange.status, self.head_of(exchange.headers), data)
                         return
-                    self.prefixes.sent(replica, request.session or '', request.parts)
+                    self.prefixes.record_sent(replica, request.session or '', request.parts)
                     if not headed:
                         headed = True
                         await out.head(200, self.head_of(exchange.headers))
@@ -671,7 +673,7 @@
                     if cutter.left.strip():
                         raise Fault('lost', 'the stream ended in the middle of an event')
                     self.health(replica, None)
-                    self.silences[name] = usual_silence(self.silences.get(name), watch.longest)
+                    self.silences[name] = usual_silence(self.silences.get(name), watch.longest_silence)
                     break
                 except Fault as e:
                     if self.attempt_failed(replica, exchange, e, start, out):
--- a/src/quillstall/dataplane/ledger.py
+++ b/src/quillstall/dataplane/ledger.py
@@ -1,4 +1,4 @@
-"""Ledger: the tokens of one rolling minute, reserved ahead and settled to what was used."""
+"""A ledger of the tokens of the last minute: reserved in advance, then settled to what was used."""
 
 from datetime import datetime, timedelta
 from typing import NamedTuple
@@ -13,61 +13,67 @@
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> led = reserve(Ledger(), 1200, t); led.total
+    >>> ledger = reserve(Ledger(), 1200, t); ledger.total
     1200
-    >>> led = settle(led, 1200, 900, t, t); led.total
+    >>> ledger = settle(ledger, 1200, 900, t, t); ledger.total
     900
-    >>> age(led, t + timedelta(seconds=61)).total
+    >>> without_expired(ledger, t + timedelta(seconds=61)).total
     0
     """
 
-    seconds: Map = Map()
+    tokens_by_second: Map = Map()
     total: int = 0
 
 
-def age(led: Ledger, now: datetime) -> Ledger:
-    """The ledger without what is older than a minute: `age(led, now)`."""
-    edge = int(now.timestamp()) - MINUTE
-    old = [s for s in led.seconds if s <= edge]
-    if not old:
-        return led
-    seconds, total = led.seconds, led.total
-    for s in old:
-        total -= seconds[s]
-        seconds = seconds.delete(s)
-    return Ledger(seconds, total)
+def without_expired(ledger: Ledger, now: datetime) -> Ledger:
+    """Return the ledger without reservations that are older than a minute."""
+    limit = int(now.timestamp()) - MINUTE
+    expired = [second for second in ledger.tokens_by_second if second <= limit]
+    if not expired:
+        return ledger
+    tokens_by_second, total = ledger.tokens_by_second, ledger.total
+    for second in expired:
+        total -= tokens_by_second[second]
+        tokens_by_second = tokens_by_second.delete(second)
+    return Ledger(tokens_by_second, total)
 
 
-def reserve(led: Ledger, tokens: int, now: datetime) -> Ledger:
-    """The ledger with a hold taken now: `reserve(led, 1200, now)`."""
-    s = int(now.timestamp())
-    return Ledger(led.seconds.set(s, led.seconds.get(s, 0) + tokens), led.total + tokens)
+def reserve(ledger: Ledger, tokens: int, now: datetime) -> Ledger:
+    """Return the ledger with tokens reserved at `now`."""
+    second = int(now.timestamp())
+    return Ledger(
+        ledger.tokens_by_second.set(second, ledger.tokens_by_second.get(second, 0) + tokens),
+        ledger.total + tokens,
+    )
 
 
-def settle(led: Ledger, hold: int, used: int, at: datetime, now: datetime) -> Ledger:
-    """The ledger with a hold of `at` turned into what was used: `settle(led, 1200, 900, at, now)`."""
-    s = int(at.timestamp())
-    led = age(led, now)
-    if s not in led.seconds:
-        return led
-    return Ledger(led.seconds.set(s, led.seconds[s] - hold + used), led.total - hold + used)
+def settle(ledger: Ledger, reserved: int, used: int, reserved_at: datetime, now: datetime) -> Ledger:
+    """Return the ledger with a reservation replaced by what was used, unless it has expired."""
+    second = int(reserved_at.timestamp())
+    ledger = without_expired(ledger, now)
+    if second not in ledger.tokens_by_second:
+        return ledger
+    return Ledger(
+        ledger.tokens_by_second.set(second, ledger.tokens_by_second[second] - reserved + used),
+        ledger.total - reserved + used,
+    )
 
 
-def room(led: Ledger, tokens: int, budget: float, now: datetime) -> timedelta:
-    """How long until the rolling minute has room for that many tokens.
+def time_until_room(ledger: Ledger, tokens: int, budget: float, now: datetime) -> timedelta:
+    """Return how long it takes until that many tokens fit into the budget of a minute.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> led = reserve(Ledger(), 900, t)
-    >>> room(led, 200, 1000, t + timedelta(seconds=10)) // timedelta(seconds=1)
+    >>> ledger = reserve(Ledger(), 900, t)
+    >>> time_until_room(ledger, 200, 1000, t + timedelta(seconds=10)) // timedelta(seconds=1)
     51
     """
-    led = age(led, now)
-    left = led.total + tokens - budget
-    if left <= 0:
+    ledger = without_expired(ledger, now)
+    excess = ledger.total + tokens - budget
+    if excess <= 0:
         return timedelta(0)
-    for s in sorted(led.seconds):
-        left -= led.seconds[s]
-        if left <= 0:
-            return max(timedelta(0), timedelta(seconds=s + MINUTE + 1 - now.timestamp()))
+    for second in sorted(ledger.tokens_by_second):
+        excess -= ledger.tokens_by_second[second]
+        if excess <= 0:
+            return max(timedelta(0), timedelta(seconds=second + MINUTE + 1 - now.timestamp()))
     return timedelta(seconds=MINUTE)
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -19,7 +19,16 @@
     waiting,
 )
 from quillstall.dataplane.admission.admission_state import State, Task
-from quillstall.dataplane.admission.messages import Arrive, Credit, Drain, Health, Leave, News, Report, Word
+from quillstall.dataplane.admission.messages import (
+    Arrive,
+    Credit,
+    Decision,
+    Drain,
+    Health,
+    Leave,
+    News,
+    Report,
+)
 from quillstall.dataplane.ask import Turn, read_key, read_span, read_turn
 from quillstall.dataplane.dialect import Dialect
 from quillstall.dataplane.gateway import Gateway
@@ -108,22 +117,22 @@
             self.work(await self.queue.get())
             while not self.queue.empty():
                 self.work(self.queue.get_nowait())
-            was, wake = wake, waiting.wake(self.state)
-            if wake != was or (admission_state.fades(self.state) and not self.alarm.is_set()):
+            was, wake = wake, waiting.next_expiry(self.state)
+            if wake != was or (admission_state.has_reported_load(self.state) and not self.alarm.is_set()):
                 self.alarm.set()
 
     def work(self, event: Any) -> None:
         """Step through one command and carry out its effects."""
         for effect in self.step(event):
             kind = type(effect)
-            if kind is Word:
+            if kind is Decision:
                 self.give(effect)
             elif kind is Count:
                 self.ctx.journal.count(effect.what, effect.more)
             elif kind is Note:
                 self.ctx.journal.note(effect.kind, **effect.facts)
 
-    def give(self, word: Word) -> None:
+    def give(self, word: Decision) -> None:
         """Tell a decision to the request that waits for it."""
         wait = self.words.pop(word.name, None)
         if wait and not wait.done():
@@ -135,7 +144,7 @@
         """One step of the table. An event that it fails on is dropped, a task among them refused: the table
         stays as it was, and the node serves on."""
         before, violated = self.state, self.ctx.journal.violated
-        run = before.runs.get(event.name) if type(event) is Leave else None
+        run = before.running_tasks.get(event.name) if type(event) is Leave else None
         try:
             self.state, effects = reducer.step(before, event, self.ctx.clock.now())
         except (KeyError, TypeError, ValueError, AttributeError, IndexError, ZeroDivisionError) as e:
@@ -143,11 +152,11 @@
             if type(event) is not Arrive:
                 return ()
             fault = Fault('no_replica', 'a fault of ours', wait_ms=OWNER_FAULT_WAIT_MS)
-            return (Word(event.task.name, None, fault.pack()),)
+            return (Decision(event.task.name, None, fault.pack()),)
         if self.state.generation < before.generation or self.state.epoch < before.epoch:
             violated('generation_forward', was=before.generation, now=self.state.generation)
-        if run is not None and self.state.used.get(run.replica, 0) < 0:
-            violated('slots_balance', replica=run.replica, used=self.state.used[run.replica])
+        if run is not None and self.state.used_slots.get(run.replica, 0) < 0:
+            violated('slots_balance', replica=run.replica, used=self.state.used_slots[run.replica])
         return effects
 
     async def ticks(self) -> None:
@@ -155,8 +164,8 @@
         while True:
             self.tell(Tick())
             self.alarm.clear()
-            at = waiting.wake(self.state)
-            if at is None and not admission_state.fades(self.state):
+            at = waiting.next_expiry(self.state)
+            if at is None and not admission_state.has_reported_load(self.state):
                 await self.rest()
                 continue
             span = TICK if at is None else min(TICK, at - self.ctx.clock.now() + of_ms(1))
@@ -259,7 +268,7 @@
         news = {
             'generation': best.generation,
             'epoch': max(self.state.epoch, best.epoch),
-            'live': best.live if self.state.lease is None else self.state.live,
+            'live': best.live if self.state.lease is None else self.state.live_nodes,
         }
         if best.policy is not None:
             news.update(policy=best.policy, leaving=best.leaving)
@@ -360,7 +369,7 @@
                 continue
             rate = self.ctx.startup.get('list_per_s', 10)
             every = max(
-                LOOK_EVERY, timedelta(seconds=2 * self.state.live / rate)
+                LOOK_EVERY, timedelta(seconds=2 * self.state.live_nodes / rate)
             )  # half of what all may ask together
             if self.listing_fresh(now) or asked and now - asked < every:
                 continue
@@ -383,12 +392,12 @@
             'generation': state.generation,
             'number': self.register['number'],
             'place': self.place,
-            'pressure': admission_state.pressure(state),
-            'has': admission_state.holding(state),
-            'doubts': sorted(self.state.down),
-            'failing': replica_health.failing(state, now),
-            'serving': replica_health.serving(state, self.duty.doubts, now),
-            'outcomes': replica_health.told_outcomes(state, now),
+            'pressure': admission_state.demand(state),
+            'has': admission_state.slot_usage(state),
+            'doubts': sorted(self.state.ejections),
+            'failing': replica_health.failure_ages(state, now),
+            'serving': replica_health.success_ages(state, self.duty.doubts, now),
+            'outcomes': replica_health.reported_outcomes(state, now),
             'reports': self.duty.reports if self.duty.holds() else {},
             'suspects': watch.suspects(self.watch, self.ctx.clock.now()),
             'listing': listing.to_wire(
@@ -398,8 +407,8 @@
                 'http': self.ctx.startup.get('http') or self.ctx.startup.get('gateway'),
                 'clock': self.ctx.clock.wall().timestamp(),
                 'draining': state.draining,
-                'down': sorted(state.down),
-                'used': {r: n for r, n in state.used.items() if n},
+                'down': sorted(state.ejections),
+                'used': {r: n for r, n in state.used_slots.items() if n},
             },
         }
 
@@ -573,7 +582,7 @@
             policy['classes'][cls].get('urgent', False),
             ask.shared or ask.route,
             before.replica if before else '',
-            prior=of_ms(route['service_ms']) if 'service_ms' in route else span * SERVICE_PART,
+            prior_service_time=of_ms(route['service_ms']) if 'service_ms' in route else span * SERVICE_PART,
         )
         self.rule(
             policy,
@@ -604,7 +613,7 @@
             rounds = 0
             while True:
                 rounds += 1
-                spare_time = rounds < admission_state.rules(self.state)['rounds'] and route.get(
+                spare_time = rounds < admission_state.settings(self.state)['rounds'] and route.get(
                     'repeat', True
                 )
                 try:
@@ -716,7 +725,7 @@
             return
         from quillstall.configuration import rules  # its library is heavy: only where there are rules
 
-        hit = rules.judge(policy['rules'], facts)
+        hit = rules.evaluate(policy['rules'], facts)
         if hit:
             self.ctx.journal.count(f'ruled_out.{hit[0]}')
             raise Fault('ruled_out', f'{hit[0]}: {hit[1]}')
@@ -725,7 +734,7 @@
         self, task: Task, replica: str, gone: asyncio.Future, fault: Fault
     ) -> tuple[Task, str]:
         """Another replica for a task whose round on this one failed; that round's fault if there is none."""
-        task = task._replace(avoid=task.avoid + (replica,))
+        task = task._replace(excluded_replicas=task.excluded_replicas + (replica,))
         try:
             return task, await self.admit(task, gone, again=True)
         except Fault as e:
@@ -747,7 +756,7 @@
         }
         try:
             ret = await self.shelf(
-                program, command, task.deadline - service_time.least_time(self.state, task, replica)
+                program, command, task.deadline - service_time.required_time(self.state, task, replica)
             )
             return ret['history'], ret['conv']
         except Fault as e:
@@ -776,14 +785,14 @@
         left = deadline - clock.now()
         if not admission_state.may_send(state, task.pool, replica, clock.now()):
             raise Fault('unreachable', 'the replica may not get new work')
-        if left < service_time.least_time(state, task, replica):
+        if left < service_time.required_time(state, task, replica):
             raise Fault(
                 'hopeless',
                 'dropped before it was sent',
-                wait_ms=admission_state.rules(state)['retry_floor_ms'],
+                wait_ms=admission_state.settings(state)['retry_floor_ms'],
             )
         address = state.policy['pools'][task.pool]['replicas'][replica]['address']
-        service = min(service_time.expected(state, task), max(task.prior, left / 2))
+        service = min(service_time.expected(state, task), max(task.prior_service_time, left / 2))
         patience = max(left - service, service * 2) if spare_time else left
         body = {
             'route': ask.route,
@@ -890,7 +899,7 @@
             start,
             policy['classes'][cls].get('urgent', False),
             service,
-            prior=of_ms(rule['service_ms']) if 'service_ms' in rule else span * SERVICE_PART,
+            prior_service_time=of_ms(rule['service_ms']) if 'service_ms' in rule else span * SERVICE_PART,
         )
         sent = done = tried = False
         # once-work is seen through to its end, for its record, even if its caller leaves
@@ -927,7 +936,7 @@
                     if (
                         e.code == 'gone'
                         or (e.code != 'unreachable' and once)
-                        or (rounds >= admission_state.rules(self.state)['rounds'])
+                        or (rounds >= admission_state.settings(self.state)['rounds'])
                     ):
                         raise
                     tried = tried or e.code != 'unreachable'
@@ -1069,7 +1078,7 @@
                     200,
                     {
                         'counters': dict(sorted(self.ctx.journal.counts.items())),
-                        'pressure': admission_state.pressure(self.state),
+                        'pressure': admission_state.demand(self.state),
                     },
                 )
             elif path == '/v1/journal':
@@ -1110,13 +1119,13 @@
             'leased': admission_state.leased(state, now),
             'epoch': state.epoch,
             'leaving': sorted(state.leaving),
-            'allot': state.allot,
-            'used': dict(state.used),
+            'allot': state.allocation,
+            'used': dict(state.used_slots),
             'draining': state.draining,
-            'down': sorted(state.down),
-            'live': state.live,
+            'down': sorted(state.ejections),
+            'live': state.live_nodes,
             'parts': len(self.seats),
-            'service_ms': {r: ms(s.expected) for r, s in state.service.items()},
+            'service_ms': {r: ms(s.expected) for r, s in state.service_times.items()},
             'rates': {p: v.slot_rate for p, v in state.pools.items()},
         }
 
@@ -1128,8 +1137,8 @@
             'generation': state.generation,
             'lease_s': max(0.0, lease),
             'settling': self.settling,
-            'replicas_down': len(state.down),
-            **{f'pressure.{pool}': n for pool, n in admission_state.pressure(state).items()},
+            'replicas_down': len(state.ejections),
+            **{f'pressure.{pool}': n for pool, n in admission_state.demand(state).items()},
         }
 
     async def told(self, message: dict) -> dict:
--- a/src/quillstall/dataplane/prefixes.py
+++ b/src/quillstall/dataplane/prefixes.py
@@ -1,51 +1,51 @@
-"""Prefixes: which parts of prompts each replica has been sent by this node, and so need not read again."""
+"""An index of the prompt parts that this node has sent to each replica, which the replica's prefix cache holds."""
 
 from collections import OrderedDict
 
-MOST = 20_000
+MAX_PARTS = 20_000
 
 
-class Prefixes:
-    """The parts by replica. A part that more than one session has brought counts as read everywhere:
-    there are few of them, and each replica soon has them all.
+class PrefixIndex:
+    """The prompt parts by replica. A part that more than one session has sent counts as cached on all replicas:
+    there are few such parts, and every replica soon has them.
 
-    >>> p = Prefixes(); p.sent('r1', 's1', (('a', 100), ('b', 20)))
-    >>> p.unread(['r1', 'r2'], 's1', (('a', 100), ('b', 20), ('c', 5)))
+    >>> p = PrefixIndex(); p.record_sent('r1', 's1', (('a', 100), ('b', 20)))
+    >>> p.uncached_tokens(['r1', 'r2'], 's1', (('a', 100), ('b', 20), ('c', 5)))
     {'r1': 5, 'r2': 125}
-    >>> p.sent('r2', 's2', (('a', 100), ('d', 7)))
-    >>> p.unread(['r1', 'r2'], 's1', (('a', 100), ('b', 20), ('c', 5)))
+    >>> p.record_sent('r2', 's2', (('a', 100), ('d', 7)))
+    >>> p.uncached_tokens(['r1', 'r2'], 's1', (('a', 100), ('b', 20), ('c', 5)))
     {'r1': 5, 'r2': 25}
     """
 
-    def __init__(self, most: int = MOST):
-        self.most = most
-        self.places: OrderedDict[str, set] = OrderedDict()
-        self.owner: dict[str, str | None] = {}
+    def __init__(self, max_parts: int = MAX_PARTS):
+        self.max_parts = max_parts
+        self.replicas: OrderedDict[str, set] = OrderedDict()  # part -> replicas that it was sent to
+        self.sessions: dict[str, str | None] = {}  # part -> its only session, None if there are several
 
-    def sent(self, replica: str, session: str, parts: tuple) -> None:
-        """A prompt with these parts went there: `prefixes.sent('r1', 's1', (('a', 100),))`."""
+    def record_sent(self, replica: str, session: str, parts: tuple) -> None:
+        """Record that a prompt with these parts, as (name, tokens), was sent to a replica."""
         for name, _ in parts:
-            if name in self.places:
-                self.places.move_to_end(name)
-                if self.owner[name] != session:
-                    self.owner[name] = None
+            if name in self.replicas:
+                self.replicas.move_to_end(name)
+                if self.sessions[name] != session:
+                    self.sessions[name] = None
             else:
-                self.places[name], self.owner[name] = set(), session
-            self.places[name].add(replica)
-        while len(self.places) > self.most:
-            name, _ = self.places.popitem(last=False)
-            del self.owner[name]
-
-    def unread(self, replicas: list, session: str, parts: tuple) -> dict[str, int]:
-        """By replica, the tokens that it would have to read; see the class's example."""
-        left = dict.fromkeys(replicas, 0)
-        ahead = set(replicas)  # those that have had every part so far
+                self.replicas[name], self.sessions[name] = set(), session
+            self.replicas[name].add(replica)
+        while len(self.replicas) > self.max_parts:
+            name, _ = self.replicas.popitem(last=False)
+            del self.sessions[name]
+
+    def uncached_tokens(self, replicas: list, session: str, parts: tuple) -> dict[str, int]:
+        """Return, by replica, the tokens of a prompt that its prefix cache does not hold."""
+        uncached = dict.fromkeys(replicas, 0)
+        with_prefix = set(replicas)  # those that have been sent every part so far
         for name, tokens in parts:
-            if name in self.places and self.owner[name] is None:
+            if name in self.replicas and self.sessions[name] is None:
                 continue
-            have = self.places.get(name, ())
-            ahead &= set(have)
+            sent_to = self.replicas.get(name, ())
+            with_prefix &= set(sent_to)
             for replica in replicas:
-                if replica not in ahead:
-                    left[replica] += tokens
-        return left
+                if replica not in with_prefix:
+                    uncached[replica] += tokens
+        return uncached
--- a/src/quillstall/dataplane/routetable.py
+++ b/src/quillstall/dataplane/routetable.py
@@ -1,4 +1,4 @@
-"""Route table: the routes of a policy by host and prefix of the path, found without looking at each."""
+"""A table of a policy's routes by host and path prefix, for lookup without a scan of all routes."""
 
 
 class RouteTable:
@@ -10,20 +10,20 @@
     """
 
     def __init__(self, routes: dict[str, dict]):
-        self.prefixes: dict[str, dict[str, tuple[str, dict]]] = {}  # host -> prefix -> route
+        self.routes: dict[str, dict[str, tuple[str, dict]]] = {}  # host -> prefix -> (name, route)
         for name, route in routes.items():
-            self.prefixes.setdefault(route['host'].lower(), {}).setdefault(route['prefix'], (name, route))
-        self.lengths = {
-            host: sorted({len(prefix) for prefix in rows}, reverse=True)
-            for host, rows in self.prefixes.items()
+            self.routes.setdefault(route['host'].lower(), {}).setdefault(route['prefix'], (name, route))
+        self.prefix_lengths = {
+            host: sorted({len(prefix) for prefix in by_prefix}, reverse=True)
+            for host, by_prefix in self.routes.items()
         }
 
     def find(self, host: str, path: str) -> tuple[str, dict] | None:
-        """The name and the route with the longest prefix of a path: `table.find('h', '/x/1')`."""
-        rows = self.prefixes.get(host)
-        if rows is None:
+        """Return the name and the route with the longest matching prefix, None if no route matches."""
+        by_prefix = self.routes.get(host)
+        if by_prefix is None:
             return None
-        for length in self.lengths[host]:
-            if length <= len(path) and (found := rows.get(path[:length])):
+        for length in self.prefix_lengths[host]:
+            if length <= len(path) and (found := by_prefix.get(path[:length])):
                 return found
         return None
--- a/src/quillstall/dataplane/stalls.py
+++ b/src/quillstall/dataplane/stalls.py
@@ -1,87 +1,89 @@
-"""Stalls: from when on a silent stream counts against its replica, before its deadline shows it.
+"""Detection of stalled streams, so that a hanging replica is found before the deadline of its requests.
 
-The longest silence of each turn that ended well is learned by route. A stream that is silent for several times
-that is stalled: its replica is doubted at once, and a turn that may be resumed goes on at another.
+The longest silence of each turn that succeeded is recorded by route. A stream that stays silent for several times
+as long is stalled: its replica is reported at once, and a turn that may be resumed continues on another replica.
 """
 
 from collections.abc import Awaitable, Callable
 from datetime import datetime, timedelta
 from typing import Any, TypeVar
 
-from quillstall.dataplane.admission.admission_state import Service
-from quillstall.dataplane.admission.service_time import blended
+from quillstall.dataplane.admission.admission_state import ServiceTime
+from quillstall.dataplane.admission.service_time import smoothed
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.errors import Fault
 
-SILENCE_LEAST = of_ms(250)  # no shorter silence is a stall
-SILENCE_TIMES = 4  # nor one that is not so many times the usual longest
-STOOD_STILL = of_ms(100)  # a timer as late as this tells of this process, not of the replica
+MIN_STALL_SILENCE = of_ms(250)  # a shorter silence is no stall
+STALL_FACTOR = 4  # nor is one below this multiple of the usual longest silence
+MAX_TIMER_DELAY = of_ms(
+    100
+)  # if a timer fires later than this, the delay is in this process, not in the replica
 
 Answer = TypeVar('Answer')
 
 
-def stall_limit(usual: Service | None) -> timedelta | None:
-    """The silence from which on a stream is stalled; None while nothing is known.
+def stall_limit(usual: ServiceTime | None) -> timedelta | None:
+    """Return the silence after which a stream counts as stalled, None if nothing has been recorded yet.
 
-    >>> stall_limit(None), stall_limit(Service(0.1, 0.05)).total_seconds(), stall_limit(Service(0.01, 0.0)).total_seconds()
+    >>> stall_limit(None), stall_limit(ServiceTime(0.1, 0.05)).total_seconds(), stall_limit(ServiceTime(0.01, 0.0)).total_seconds()
     (None, 0.6, 0.25)
     """
-    return max(SILENCE_LEAST, usual.expected * SILENCE_TIMES) if usual else None
+    return max(MIN_STALL_SILENCE, usual.expected * STALL_FACTOR) if usual else None
 
 
-def usual_silence(known: Service | None, longest: timedelta) -> Service:
-    """What is known of a route's longest silences after one more turn that ended well.
+def usual_silence(known: ServiceTime | None, longest: timedelta) -> ServiceTime:
+    """Return a route's estimate of the longest silence after one more turn that succeeded.
 
     >>> usual_silence(None, of_ms(200))
-    Service(mean=0.2, dev=0.1)
+    ServiceTime(mean=0.2, deviation=0.1)
     """
-    span = longest.total_seconds()
-    return blended(known, span) if known else Service(span, span / 2)
+    seconds = longest.total_seconds()
+    return smoothed(known, seconds) if known else ServiceTime(seconds, seconds / 2)
 
 
 class StallWatch:
-    """Waits for the parts of one stream from one replica."""
+    """Waits for the data of one stream from one replica, and detects when it stalls."""
 
     def __init__(
         self,
         clock: Any,
         limit: timedelta | None,
         deadline: datetime,
-        may_move: bool,
+        may_resume: bool,
         report: Callable[[], None],
     ):
         self.clock = clock
         self.limit = limit
         self.deadline = deadline
-        self.may_move = may_move  # the turn may go on elsewhere
-        self.report = report  # says that the replica is stalled
+        self.may_resume = may_resume  # the turn may continue on another replica
+        self.report = report  # reports the replica as stalled
         self.reported = False
-        self.longest = timedelta(0)
+        self.longest_silence = timedelta(0)
 
-    async def wait(self, ask: Callable[[timedelta], Awaitable[Answer]]) -> Answer:
-        """What `ask(limit)` gives: `await watch.wait(exchange.data)`. A stall is reported once, and raised as
-        Fault 'slow' where the turn may move; else it is waited on until the deadline."""
+    async def wait(self, receive: Callable[[timedelta], Awaitable[Answer]]) -> Answer:
+        """Return the result of `receive(limit)`, as in `await watch.wait(exchange.data)`. On a stall raise Fault
+        'slow' if the turn may resume; else report it once and wait on until the deadline."""
         start = self.clock.now()
         while True:
-            asked = self.clock.now()
-            span = self.deadline - asked
+            attempt_start = self.clock.now()
+            limit = self.deadline - attempt_start
             if self.limit is not None and not self.reported:
-                span = min(span, self.limit)
+                limit = min(limit, self.limit)
             try:
-                answer = await ask(span)
+                answer = await receive(limit)
             except Fault as e:
-                self.judge(e, self.clock.now() - asked > span + STOOD_STILL)
+                self.handle(e, self.clock.now() - attempt_start > limit + MAX_TIMER_DELAY)
                 continue
-            self.longest = max(self.longest, self.clock.now() - start)
+            self.longest_silence = max(self.longest_silence, self.clock.now() - start)
             return answer
 
-    def judge(self, fault: Fault, stood_still: bool) -> None:
-        """Take a fault of one wait: raise it, or let the stream be waited for on."""
+    def handle(self, fault: Fault, timer_delayed: bool) -> None:
+        """Handle a fault while waiting: raise it, or return to wait on."""
         if fault.code != 'slow' or self.clock.now() >= self.deadline:
             raise fault
-        if stood_still:
+        if timer_delayed:
             return
-        if self.may_move:
+        if self.may_resume:
             raise Fault('slow', fault.text, more={'stalled': True}) from fault
         self.reported = True
         self.report()
--- a/src/quillstall/testbed/explore.py
+++ b/src/quillstall/testbed/explore.py
@@ -351,8 +351,8 @@
         town.crowd.spawn(town.crowd.play(timedelta(seconds=3), 3))
         town.add(name, 'route', self.dice.choice(('z0', 'z1', 'z2')), host)
         await town.world.sleep(6)
-        if not town.hosts[name].state.allot or not sum(town.hosts[name].state.allot.values()):
-            self.say('takes_share', f'{name} got no slots: {town.hosts[name].state.allot}')
+        if not town.hosts[name].state.allocation or not sum(town.hosts[name].state.allocation.values()):
+            self.say('takes_share', f'{name} got no slots: {town.hosts[name].state.allocation}')
 
     async def do_route_kill(self) -> None:
         name = self.dice.choice(self.town.named('route'))
--- a/src/quillstall/testbed/hollow.py
+++ b/src/quillstall/testbed/hollow.py
@@ -117,8 +117,8 @@
             generation=ret['generation'],
             epoch=ret['epoch'],
             lease=lease,
-            allot=ret.get('allot', state.allot),
-            live=max(1, ret['live']),
+            allocation=ret.get('allot', state.allocation),
+            live_nodes=max(1, ret['live']),
         )
 
     def place_news(self, ret: dict) -> None:
@@ -210,8 +210,8 @@
                     'epoch': h.state.epoch,
                     'place': h.place,
                     'leased': h.leased(),
-                    'allotted': bool(h.state.allot),
-                    'slots': sum(h.state.allot.values()),
+                    'allotted': bool(h.state.allocation),
+                    'slots': sum(h.state.allocation.values()),
                     'parts': len(h.seats),
                 }
                 for n, h in self.nodes.items()
@@ -220,7 +220,7 @@
         if kind == 'allot':
             total: Counter = Counter()
             for node in self.nodes.values():
-                total.update(node.state.allot)
+                total.update(node.state.allocation)
             return {'ok': True, 'allot': dict(total)}
         if kind == 'when':
             return {
--- a/src/quillstall/testbed/rehearse.py
+++ b/src/quillstall/testbed/rehearse.py
@@ -64,7 +64,7 @@
     for node in town.nodes():
         state = node.state
         mine = admission_state.slots_of(state, 'models')
-        busy = sum(state.used.get(r, 0) for r in mine)
+        busy = sum(state.used_slots.get(r, 0) for r in mine)
         slots += sum(mine.values())
         used += busy
         pool = state.pools.get('models')
@@ -72,12 +72,12 @@
             continue
         line = [t for tasks in pool.pending.values() for t in tasks]
         pending += len(line)
-        tokens += pool.queued
+        tokens += pool.pending_tokens
         if line:
             rate = throughput.drain_rate(state, pool, line[0])
-            depth = max(depth, pool.queued / rate if rate else 0.0)
-            age = (town.world.now() - min(t.at for t in line)).total_seconds()
-            oldest = max(oldest, age + (pool.queued / rate if rate else 0.0))
+            depth = max(depth, pool.pending_tokens / rate if rate else 0.0)
+            age = (town.world.now() - min(t.arrived_at for t in line)).total_seconds()
+            oldest = max(oldest, age + (pool.pending_tokens / rate if rate else 0.0))
         else:
             idle += sum(mine.values()) - busy
     return Sample(
--- a/src/quillstall/testbed/sabotage.py
+++ b/src/quillstall/testbed/sabotage.py
@@ -88,7 +88,7 @@
     with (
         patch.object(reducer, 'step', step),
         patch.object(service_time, 'expected', never),
-        patch.object(service_time, 'least_time', lambda state, task, replica: never(state, task)),
+        patch.object(service_time, 'required_time', lambda state, task, replica: never(state, task)),
         patch.object(waiting, 'overtaken', lambda *more: []),
     ):
         yield
@@ -392,12 +392,12 @@
 @contextmanager
 def ignore_leaving() -> Iterator[None]:
     """Routing nodes do not hear that a replica leaves."""
-    real = reducer.news
+    real = reducer.core_update
 
     def deafened(state: Any, event: Any, now: Any, out: list) -> Any:
-        return real(state, event._replace(ret={**event.ret, 'leaving': []}), now, out)
+        return real(state, event._replace(reply={**event.reply, 'leaving': []}), now, out)
 
-    with patch.object(reducer, 'news', deafened):
+    with patch.object(reducer, 'core_update', deafened):
         yield
 
 
@@ -429,14 +429,14 @@
 @contextmanager
 def take_older() -> Iterator[None]:
     """A routing node takes whatever generation comes last."""
-    real = reducer.news
+    real = reducer.core_update
 
     def any_age(state: Any, event: Any, now: Any, out: list) -> Any:
-        if event.ret['generation'] < state.generation and event.ret.get('policy'):
-            state = state._replace(generation=event.ret['generation'] - 1, epoch=0)
+        if event.reply['generation'] < state.generation and event.reply.get('policy'):
+            state = state._replace(generation=event.reply['generation'] - 1, epoch=0)
         return real(state, event, now, out)
 
-    with patch.object(reducer, 'news', any_age):
+    with patch.object(reducer, 'core_update', any_age):
         yield
 
 
@@ -454,18 +454,18 @@
 @contextmanager
 def any_service() -> Iterator[None]:
     """A routing node passes on calls to paths that no policy names."""
-    real = reducer.news
+    real = reducer.core_update
 
     def wide(state: Any, event: Any, now: Any, out: list) -> Any:
-        policy = event.ret.get('policy')
+        policy = event.reply.get('policy')
         if policy:
             services = Anything(
                 {n: {**s, 'paths': Anything(s['paths'])} for n, s in policy['services'].items()}
             )
-            event = event._replace(ret={**event.ret, 'policy': {**policy, 'services': services}})
+            event = event._replace(reply={**event.reply, 'policy': {**policy, 'services': services}})
         return real(state, event, now, out)
 
-    with patch.object(reducer, 'news', wide):
+    with patch.object(reducer, 'core_update', wide):
         yield
 
 
--- a/src/quillstall/testbed/scale.py
+++ b/src/quillstall/testbed/scale.py
@@ -16,7 +16,7 @@
 from immutables import Map
 
 from quillstall.configuration.policy import check, merge
-from quillstall.controlplane import allot, core_state, leases, shelf
+from quillstall.controlplane import core_state, leases, shelf, slot_allocation
 from quillstall.network.web import fetch
 from quillstall.replication import group
 from quillstall.runtime.clock import of_ms
@@ -601,9 +601,11 @@
     began, targets, held = time.process_time(), {}, {}
     for spec in whole['pools'].values():
         sizes = {r: v['slots'] for r, v in spec['replicas'].items()}
-        rows = allot.lay(sizes, allot.totals(sum(sizes.values()), {n: 0.0 for n in names}))
+        rows = slot_allocation.allocate_replicas(
+            sizes, slot_allocation.node_totals(sum(sizes.values()), {n: 0.0 for n in names})
+        )
         for r, cells in rows.items():
-            targets[r] = allot.trade(sizes[r], cells, {n: 0 for n in names})
+            targets[r] = slot_allocation.grantable(sizes[r], cells, {n: 0 for n in names})
             for n, count in targets[r].items():
                 held.setdefault(n, {})[r] = count
     laid = time.process_time() - began
