--- a/src/quillstall/dataplane/admission/admission_state.py
+++ b/src/quillstall/dataplane/admission/admission_state.py
@@ -267,7 +267,7 @@
 def has_reported_load(state: State) -> bool:
     """Return whether there are load reports that have to decay with time.
 
-    >>> has_reported_load(State()), has_reported_load(State(other_load=Map({'a': (2.0, None)})))
+    >>> has_reported_load(State()), has_reported_load(State(other_load=Map({'r': (2.0, None)})))
     (False, True)
     """
     return bool(state.other_load)
--- a/src/quillstall/dataplane/prefixes.py
+++ b/src/quillstall/dataplane/prefixes.py
@@ -19,31 +19,31 @@
 
     def __init__(self, max_parts: int = MAX_PARTS):
         self.max_parts = max_parts
-        self.replicas: OrderedDict[str, set] = OrderedDict()  # part -> replicas that it was sent to
-        self.sessions: dict[str, str | None] = {}  # part -> its only session, None if there are several
+        self.replicas_by_part: OrderedDict[str, set] = OrderedDict()
+        self.session_by_part: dict[str, str | None] = {}  # None where there are several
 
     def record_sent(self, replica: str, session: str, parts: tuple) -> None:
         """Record that a prompt with these parts, as (name, tokens), was sent to a replica."""
         for name, _ in parts:
-            if name in self.replicas:
-                self.replicas.move_to_end(name)
-                if self.sessions[name] != session:
-                    self.sessions[name] = None
+            if name in self.replicas_by_part:
+                self.replicas_by_part.move_to_end(name)
+                if self.session_by_part[name] != session:
+                    self.session_by_part[name] = None
             else:
-                self.replicas[name], self.sessions[name] = set(), session
-            self.replicas[name].add(replica)
-        while len(self.replicas) > self.max_parts:
-            name, _ = self.replicas.popitem(last=False)
-            del self.sessions[name]
+                self.replicas_by_part[name], self.session_by_part[name] = set(), session
+            self.replicas_by_part[name].add(replica)
+        while len(self.replicas_by_part) > self.max_parts:
+            name, _ = self.replicas_by_part.popitem(last=False)
+            del self.session_by_part[name]
 
     def uncached_tokens(self, replicas: list, session: str, parts: tuple) -> dict[str, int]:
         """Return, by replica, the tokens of a prompt that its prefix cache does not hold."""
         uncached = dict.fromkeys(replicas, 0)
         with_prefix = set(replicas)  # those that have been sent every part so far
         for name, tokens in parts:
-            if name in self.replicas and self.sessions[name] is None:
+            if name in self.replicas_by_part and self.session_by_part[name] is None:
                 continue
-            sent_to = self.replicas.get(name, ())
+            sent_to = self.replicas_by_part.get(name, ())
             with_prefix &= set(sent_to)
             for replica in replicas:
                 if replica not in with_prefix:
--- a/src/quillstall/dataplane/routetable.py
+++ b/src/quillstall/dataplane/routetable.py
@@ -10,17 +10,19 @@
     """
 
     def __init__(self, routes: dict[str, dict]):
-        self.routes: dict[str, dict[str, tuple[str, dict]]] = {}  # host -> prefix -> (name, route)
+        self.routes_by_host: dict[str, dict[str, tuple[str, dict]]] = {}  # host -> prefix -> (name, route)
         for name, route in routes.items():
-            self.routes.setdefault(route['host'].lower(), {}).setdefault(route['prefix'], (name, route))
+            self.routes_by_host.setdefault(route['host'].lower(), {}).setdefault(
+                route['prefix'], (name, route)
+            )
         self.prefix_lengths = {
             host: sorted({len(prefix) for prefix in by_prefix}, reverse=True)
-            for host, by_prefix in self.routes.items()
+            for host, by_prefix in self.routes_by_host.items()
         }
 
     def find(self, host: str, path: str) -> tuple[str, dict] | None:
         """Return the name and the route with the longest matching prefix, None if no route matches."""
-        by_prefix = self.routes.get(host)
+        by_prefix = self.routes_by_host.get(host)
         if by_prefix is None:
             return None
         for length in self.prefix_lengths[host]:
