--- a/src/quillstall/controlplane/slot_allocation.py
+++ b/src/quillstall/controlplane/slot_allocation.py
@@ -13,19 +13,21 @@
     >>> sum(node_totals(2, {'a': 0, 'b': 0, 'c': 9}).values()), node_totals(2, {'a': 0, 'b': 0, 'c': 9})['c']
     (2, 1)
     """
-    names = sorted(demand)
-    if not names:
+    nodes = sorted(demand)
+    if not nodes:
         return {}
-    even = slots / 2 / len(names)
+    even = slots / 2 / len(nodes)
     total_demand = sum(demand.values())
     ideal = {
-        n: even + (slots / 2) * (demand[n] / total_demand if total_demand > 0 else 1 / len(names))
-        for n in names
+        node: even + (slots / 2) * (demand[node] / total_demand if total_demand > 0 else 1 / len(nodes))
+        for node in nodes
     }
-    totals = {n: int(ideal[n]) for n in names}
+    totals = {node: int(ideal[node]) for node in nodes}
     remainder = slots - sum(totals.values())
-    for n in sorted(names, key=lambda n: (-(ideal[n] - totals[n]), totals[n], n))[:remainder]:
-        totals[n] += 1
+    for node in sorted(nodes, key=lambda node: (-(ideal[node] - totals[node]), totals[node], node))[
+        :remainder
+    ]:
+        totals[node] += 1
     return totals
 
 
@@ -39,31 +41,32 @@
     ([16, 16], True)
     """
     all_slots = sum(slots.values())
-    given = {n: 0 for n in totals}
+    given = {node: 0 for node in totals}
     rows: dict[str, dict[str, int]] = {}
     slots_so_far = 0
-    for r in sorted(slots):
-        slots_so_far += slots[r]
+    for replica in sorted(slots):
+        slots_so_far += slots[replica]
         ideal = {
-            n: max(0.0, totals[n] * slots_so_far / all_slots - given[n]) if all_slots else 0.0 for n in totals
+            node: max(0.0, totals[node] * slots_so_far / all_slots - given[node]) if all_slots else 0.0
+            for node in totals
         }
-        row = {n: int(ideal[n]) for n in totals}
-        remainder = slots[r] - sum(row.values())
-        order = sorted(totals, key=lambda n: (-(ideal[n] - row[n]), score(r, n)))
+        row = {node: int(ideal[node]) for node in totals}
+        remainder = slots[replica] - sum(row.values())
+        order = sorted(totals, key=lambda node: (-(ideal[node] - row[node]), score(replica, node)))
         step = 0
         while remainder > 0 and order:
-            n = order[step % len(order)]
-            if given[n] + row[n] < totals[n] or step >= len(order):
-                row[n] += 1
+            node = order[step % len(order)]
+            if given[node] + row[node] < totals[node] or step >= len(order):
+                row[node] += 1
                 remainder -= 1
             step += 1
         while remainder < 0:
-            n = max(sorted(row), key=lambda n: row[n] - ideal[n])
-            row[n] -= 1
+            node = max(sorted(row), key=lambda node: row[node] - ideal[node])
+            row[node] -= 1
             remainder += 1
-        for n in totals:
-            given[n] += row[n]
-        rows[r] = row
+        for node in totals:
+            given[node] += row[node]
+        rows[replica] = row
     return rows
 
 
@@ -78,9 +81,9 @@
     """
     free = slots - sum(held.values())
     granted = {}
-    for n in sorted(target):
-        current = held.get(n, 0)
-        added = max(0, min(target[n] - current, free))
+    for node in sorted(target):
+        current = held.get(node, 0)
+        added = max(0, min(target[node] - current, free))
         free -= added
-        granted[n] = min(target[n], current + added)
+        granted[node] = min(target[node], current + added)
     return granted
--- a/src/quillstall/dataplane/admission/choice.py
+++ b/src/quillstall/dataplane/admission/choice.py
@@ -14,18 +14,19 @@
 
 
 def assign(state: State, task: Task, now: datetime) -> str | None:
-    """Return the replica for a task, None if no slot is free: the one with the conversation's prefix cached,
-    else the one with its shared prefix unless that exceeds the lowest utilization by more than the policy's slack."""
+    """Return the replica for a task, None if no slot is free. In a listed pool that is where the task should end
+    first; else the replica with the conversation's prefix cached, or else the one with its shared prefix unless its
+    utilization exceeds the lowest by more than the policy's slack."""
     slots = admission_state.slots_of(state, task.pool)
     free = {}
-    for r, n in slots.items():
-        used = state.used_slots.get(r, 0)
-        ejection = state.ejections.get(r)
-        if used >= n or r in task.excluded_replicas or (ejection and now < ejection.until):
+    for replica, slot_count in slots.items():
+        used = state.used_slots.get(replica, 0)
+        ejection = state.ejections.get(replica)
+        if used >= slot_count or replica in task.excluded_replicas or (ejection and now < ejection.until):
             continue
         if ejection and used:  # after an ejection one task at a time, until one succeeds
             continue
-        free[r] = used / n
+        free[replica] = used / slot_count
     free = without_ejected(state, free, slots)
     if not free:
         return None
@@ -39,9 +40,9 @@
         return task.preferred_replica
     least = min(free.values())
     slack = admission_state.settings(state)['warm_slack']
-    for r in rank(task.shared_prefix or task.route, free):
-        if free[r] <= least + slack:
-            return r
+    for replica in rank(task.shared_prefix or task.route, free):
+        if free[replica] <= least + slack:
+            return replica
     return None
 
 
@@ -81,19 +82,19 @@
         admission_state.mechanism_enabled(state, name) for name in ('prompt_memory', 'zones', 'warmth')
     )
     best, least = '', 0.0
-    for r in sorted(free, key=lambda r: (r, task.name)):
-        load = state.used_slots.get(r, 0) + admission_state.load_of_others(state, r)
-        slots = rows[r]['slots']
+    for replica in sorted(free, key=lambda replica: (replica, task.name)):
+        load = state.used_slots.get(replica, 0) + admission_state.load_of_others(state, replica)
+        slots = rows[replica]['slots']
         excess = max(0.0, load + 1 - slots)
         cost = (load + 3.0 * excess) * (REQUEST_COST_TOKENS if task.reserved_tokens > 1 else 1.0)
-        cost += task.uncached_tokens.get(r, 0) if count_uncached else 0
-        if count_zones and rows[r].get('zone') != task.zone:
+        cost += task.uncached_tokens.get(replica, 0) if count_uncached else 0
+        if count_zones and rows[replica].get('zone') != task.zone:
             cost += REQUEST_COST_TOKENS * CROSS_ZONE_COST if task.reserved_tokens > 1 else CROSS_ZONE_COST
-        if count_cold_start and rows[r].get('cold'):
+        if count_cold_start and rows[replica].get('cold'):
             cost += REQUEST_COST_TOKENS * slots
-        cost += tie_breaker(task.name, r)
+        cost += tie_breaker(task.name, replica)
         if not best or cost < least:
-            best, least = r, cost
+            best, least = replica, cost
     return best
 
 
--- a/src/quillstall/dataplane/admission/reducer.py
+++ b/src/quillstall/dataplane/admission/reducer.py
@@ -47,7 +47,7 @@
 from quillstall.runtime.errors import Fault
 
 
-def may_try(state: State, task: Task, now: datetime) -> bool:
+def trial_allowed(state: State, task: Task, now: datetime) -> bool:
     """Return whether a task may be sent on trial although its route has recently been too slow: one at a time,
     if the declared service time fits its deadline. Without trials a route that was slow once would never be
     measured again."""
@@ -140,7 +140,7 @@
             )
         )
     service = service_time.expected(state, task)
-    if now + service > task.deadline and not event.retry and may_try(state, task, now):
+    if now + service > task.deadline and not event.retry and trial_allowed(state, task, now):
         replica = choice.assign(state, task, now)
         if replica:
             effects.append(Count('trials'))
