--- a/src/quillstall/testbed/hollow.py
+++ b/src/quillstall/testbed/hollow.py
@@ -100,7 +100,7 @@
         """Take news as the table's owner would, without pools and policy."""
         if type(event) is not News:
             return
-        ret, state = event.ret, self.state
+        ret, state = event.reply, self.state
         if ret['epoch'] < state.epoch or ret['generation'] < state.generation:
             return
         if ret['generation'] > state.generation:
