--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -59,16 +59,16 @@
     context.meant_violations = ('slots_balance',)
 
     def give_back_twice(step, state, incoming, now):
-        run = state.runs[incoming.name]
+        run = state.running_tasks[incoming.name]
         after, _ = step(state, incoming, now)
-        return after._replace(used=after.used.set(run.replica, -1)), ()
+        return after._replace(used_slots=after.used_slots.set(run.replica, -1)), ()
 
     break_next_step(context, Leave, give_back_twice)
     cluster = context.cluster
     cluster.run(cluster.request('/any/x'))
     cluster.run(wait_until(lambda: context.violations))
     node = cluster.nodes[0]
-    node.state = node.state._replace(used=Map())
+    node.state = node.state._replace(used_slots=Map())
 
 
 class MistakenRoute(dict):
--- a/src/quillstall/controlplane/leases.py
+++ b/src/quillstall/controlplane/leases.py
@@ -7,7 +7,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import allot, book, placement, pooled_failures
+from quillstall.controlplane import book, placement, pooled_failures, slot_allocation
 from quillstall.controlplane.core_state import (
     PEER_REPORT_VALIDITY,
     RECENT_POLL,
@@ -131,7 +131,7 @@
         frozenset(stores),
         tuple(sorted(suspect_replicas)),
         failing,
-        pooled_failures.shunned(recent) if suspect_replicas or failing else (),
+        pooled_failures.ejected(recent) if suspect_replicas or failing else (),
         {
             replica: report['well']
             for node in recent
@@ -330,10 +330,12 @@
         ):
             demand = previous
         demands[pool] = demand
-        slots_by_replica = allot.lay(sizes, allot.totals(sum(sizes.values()), demand))
+        slots_by_replica = slot_allocation.allocate_replicas(
+            sizes, slot_allocation.node_totals(sum(sizes.values()), demand)
+        )
         for replica, shares in slots_by_replica.items():
             current = {n: held[n].get(replica, 0) for n in names}
-            shares = allot.trade(sizes[replica], shares, current)
+            shares = slot_allocation.grantable(sizes[replica], shares, current)
             allocations[replica] = shares
             for n in names:
                 held[n][replica] = max(current[n], shares[n])
--- a/src/quillstall/dataplane/gateway.py
+++ b/src/quillstall/dataplane/gateway.py
@@ -16,13 +16,13 @@
 
 from quillstall.dataplane import dialect
 from quillstall.dataplane.admission import admission_state, refusal, service_time
-from quillstall.dataplane.admission.admission_state import Service, Task
+from quillstall.dataplane.admission.admission_state import ServiceTime, Task
 from quillstall.dataplane.admission.messages import Credit, Drain, Health, Leave, Load
 from quillstall.dataplane.dialect import Dialect, Request
 from quillstall.dataplane.event_stream import EventStreamParser
 from quillstall.dataplane.failures import Attempt, FailureLog
 from quillstall.dataplane.keyed import CompleteResponse, KeyedOperations
-from quillstall.dataplane.prefixes import Prefixes
+from quillstall.dataplane.prefixes import PrefixIndex
 from quillstall.dataplane.routetable import RouteTable
 from quillstall.dataplane.stalls import StallWatch, stall_limit, usual_silence
 from quillstall.dataplane.turn_cache import CachedTurn, TurnCache
@@ -70,12 +70,12 @@
         self.readiness_listener: Listener | None = None
         self.keyed_operations = KeyedOperations(node, dialect)
         self.turn_cache = TurnCache()
-        self.prefixes = Prefixes()
+        self.prefixes = PrefixIndex()
         self.routes = RouteTable({})
         self.routes_generation = -1  # the policy generation of `routes`
         self.split_positions: dict[str, float] = {}  # route -> position of its next request without affinity
         self.failures = FailureLog(self.ctx.clock, self.ctx.journal)
-        self.silences: dict[str, Service] = {}  # route -> longest silences of its streams
+        self.silences: dict[str, ServiceTime] = {}  # route -> longest silences of its streams
         self.draining = False
         self.final_response_at: datetime | None = None  # while draining: when open requests are answered
 
@@ -265,7 +265,7 @@
         reserved_tokens = 1
         if route.get('stream'):
             reserved_tokens = max(2, request.prompt_tokens + request.max_tokens)
-            unread = self.prefixes.unread(
+            unread = self.prefixes.uncached_tokens(
                 list(admission_state.replicas_of(state, pool)), request.session or '', request.prompt_parts
             )
         return Task(
@@ -277,8 +277,10 @@
             deadline,
             start,
             state.policy['classes'][class_name].get('urgent', False),
-            prior=min((deadline - start) * PRIOR_FRACTION, of_ms(int(route.get('target_ms') or 600_000))),
-            unread=unread,
+            prior_service_time=min(
+                (deadline - start) * PRIOR_FRACTION, of_ms(int(route.get('target_ms') or 600_000))
+            ),
+            uncached_tokens=unread,
             zone=self.ctx.startup['zone'],
         )
 
@@ -291,7 +293,7 @@
         return [
             r
             for r in admission_state.replicas_of(state, task.pool)
-            if r not in (replica, *task.avoid, *state.down)
+            if r not in (replica, *task.excluded_replicas, *state.ejections)
         ]
 
     def response_matcher(self, request: Request) -> AnswerTest:
@@ -427,7 +429,7 @@
 
     def attempt_deadline(self, task: Task, deadline: datetime) -> datetime:
         """Return when a repeatable request that another replica could take stops waiting for this attempt."""
-        if not admission_state.uses(self.node.state, 'patience'):
+        if not admission_state.mechanism_enabled(self.node.state, 'patience'):
             return deadline
         patience = max(MIN_PATIENCE, service_time.expected(self.node.state, task) * PATIENCE_FACTOR)
         return min(deadline, self.ctx.clock.now() + patience)
@@ -435,12 +437,12 @@
     def report_health(self, replica: str, fault: Fault | None, status: int = 200) -> None:
         """Report the outcome of an attempt to admission: its fault, or the status that was forwarded."""
         if fault is None:
-            self.node.post_event(Health(replica, True, erred=status >= 500))
+            self.node.post_event(Health(replica, True, error_response=status >= 500))
         elif fault.code not in ('gone', 'hopeless') and not fault.more.get('ours'):
             full = fault.more.get('full', False)
             refused = fault.code == 'unreachable' and not full
             stalled = fault.more.get('stalled', False)
-            self.node.post_event(Health(replica, False, not refused, stalled, full=full))
+            self.node.post_event(Health(replica, False, not refused, stalled, at_capacity=full))
 
     def record_failed_attempt(
         self, replica: str, exchange: Exchange | None, fault: Fault, start: datetime, response: Any
@@ -461,7 +463,7 @@
         self, route_name: str, task: Task, replica: str, deadline: datetime, can_move: bool
     ) -> StallWatch:
         """Return the stall detector of one stream; `can_move` tells whether it may be resumed elsewhere."""
-        enabled = admission_state.uses(self.node.state, 'silence')
+        enabled = admission_state.mechanism_enabled(self.node.state, 'silence')
         return StallWatch(
             self.ctx.clock,
             stall_limit(self.silences.get(route_name)) if enabled else None,
@@ -724,7 +726,7 @@
                         self.report_health(replica, None, exchange.status)
                         await response.whole(exchange.status, self.response_headers(exchange.headers), data)
                         return
-                    self.prefixes.sent(replica, request.session or '', request.prompt_parts)
+                    self.prefixes.record_sent(replica, request.session or '', request.prompt_parts)
                     if not headers_sent:
                         headers_sent = True
                         await response.head(200, self.response_headers(exchange.headers))
@@ -754,7 +756,9 @@
                     if parser.remainder.strip():
                         raise Fault('lost', 'the stream ended in the middle of an event')
                     self.report_health(replica, None)
-                    self.silences[route_name] = usual_silence(self.silences.get(route_name), watch.longest)
+                    self.silences[route_name] = usual_silence(
+                        self.silences.get(route_name), watch.longest_silence
+                    )
                     break
                 except Fault as e:
                     if self.record_failed_attempt(replica, exchange, e, start, response):
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -22,7 +22,16 @@
     waiting,
 )
 from quillstall.dataplane.admission.admission_state import State, Task
-from quillstall.dataplane.admission.messages import Arrive, Credit, Drain, Health, Leave, News, Report, Word
+from quillstall.dataplane.admission.messages import (
+    Arrive,
+    Credit,
+    Decision,
+    Drain,
+    Health,
+    Leave,
+    News,
+    Report,
+)
 from quillstall.dataplane.dialect import Dialect
 from quillstall.dataplane.gateway import Gateway
 from quillstall.dataplane.request_parser import TurnRequest, read_deadline_ms, read_key, read_turn
@@ -109,22 +118,24 @@
             self.handle_event(await self.queue.get())
             while not self.queue.empty():
                 self.handle_event(self.queue.get_nowait())
-            previous, wake = wake, waiting.wake(self.state)
-            if wake != previous or (admission_state.fades(self.state) and not self.ticks_needed.is_set()):
+            previous, wake = wake, waiting.next_expiry(self.state)
+            if wake != previous or (
+                admission_state.has_reported_load(self.state) and not self.ticks_needed.is_set()
+            ):
                 self.ticks_needed.set()
 
     def handle_event(self, event: Any) -> None:
         """Apply one event and carry out its effects."""
         for effect in self.step(event):
             kind = type(effect)
-            if kind is Word:
+            if kind is Decision:
                 self.deliver_decision(effect)
             elif kind is Count:
                 self.ctx.journal.count(effect.what, effect.more)
             elif kind is Note:
                 self.ctx.journal.note(effect.kind, **effect.facts)
 
-    def deliver_decision(self, decision: Word) -> None:
+    def deliver_decision(self, decision: Decision) -> None:
         """Hand an admission decision to the request that waits for it."""
         future = self.pending_decisions.pop(decision.name, None)
         if future and not future.done():
@@ -139,7 +150,7 @@
         the task of an `Arrive` is refused.
         """
         before, violated = self.state, self.ctx.journal.violated
-        run = before.runs.get(event.name) if type(event) is Leave else None
+        run = before.running_tasks.get(event.name) if type(event) is Leave else None
         try:
             self.state, effects = reducer.step(before, event, self.ctx.clock.now())
         except (KeyError, TypeError, ValueError, AttributeError, IndexError, ZeroDivisionError) as e:
@@ -147,11 +158,11 @@
             if type(event) is not Arrive:
                 return ()
             fault = Fault('no_replica', 'a fault of ours', wait_ms=STEP_FAULT_RETRY_MS)
-            return (Word(event.task.name, None, fault.pack()),)
+            return (Decision(event.task.name, None, fault.pack()),)
         if self.state.generation < before.generation or self.state.epoch < before.epoch:
             violated('generation_forward', was=before.generation, now=self.state.generation)
-        if run is not None and self.state.used.get(run.replica, 0) < 0:
-            violated('slots_balance', replica=run.replica, used=self.state.used[run.replica])
+        if run is not None and self.state.used_slots.get(run.replica, 0) < 0:
+            violated('slots_balance', replica=run.replica, used=self.state.used_slots[run.replica])
         return effects
 
     async def run_clock(self) -> None:
@@ -159,8 +170,8 @@
         while True:
             self.post_event(Tick())
             self.ticks_needed.clear()
-            wake_at = waiting.wake(self.state)
-            if wake_at is None and not admission_state.fades(self.state):
+            wake_at = waiting.next_expiry(self.state)
+            if wake_at is None and not admission_state.has_reported_load(self.state):
                 await self.wait_until_needed()
                 continue
             delay = (
@@ -271,7 +282,7 @@
         update = {
             'generation': newest.generation,
             'epoch': max(self.state.epoch, newest.epoch),
-            'live': newest.live if self.state.lease is None else self.state.live,
+            'live': newest.live if self.state.lease is None else self.state.live_nodes,
         }
         if newest.policy is not None:
             update.update(policy=newest.policy, leaving=newest.leaving)
@@ -378,7 +389,7 @@
                 continue
             max_rate = self.ctx.startup.get('list_per_s', 10)
             # all nodes together use at most half of the permitted rate
-            min_interval = max(MIN_REFRESH_INTERVAL, timedelta(seconds=2 * self.state.live / max_rate))
+            min_interval = max(MIN_REFRESH_INTERVAL, timedelta(seconds=2 * self.state.live_nodes / max_rate))
             if self.is_listing_fresh(now) or refreshed_at and now - refreshed_at < min_interval:
                 continue
             refreshed_at = now
@@ -401,12 +412,12 @@
             'generation': state.generation,
             'number': self.register['number'],
             'place': self.placement_version,
-            'pressure': admission_state.pressure(state),
-            'has': admission_state.holding(state),
-            'doubts': sorted(self.state.down),
-            'failing': replica_health.failing(state, now),
-            'serving': replica_health.serving(state, self.probe_leadership.suspected_replicas, now),
-            'outcomes': replica_health.told_outcomes(state, now),
+            'pressure': admission_state.demand(state),
+            'has': admission_state.slot_usage(state),
+            'doubts': sorted(self.state.ejections),
+            'failing': replica_health.failure_ages(state, now),
+            'serving': replica_health.success_ages(state, self.probe_leadership.suspected_replicas, now),
+            'outcomes': replica_health.reported_outcomes(state, now),
             'reports': self.probe_leadership.reports if self.probe_leadership.is_leader() else {},
             'suspects': watch.suspects(self.watch, self.ctx.clock.now()),
             'listing': listing.to_wire(
@@ -416,8 +427,8 @@
                 'http': self.ctx.startup.get('http') or self.ctx.startup.get('gateway'),
                 'clock': self.ctx.clock.wall().timestamp(),
                 'draining': state.draining,
-                'down': sorted(state.down),
-                'used': {r: n for r, n in state.used.items() if n},
+                'down': sorted(state.ejections),
+                'used': {r: n for r, n in state.used_slots.items() if n},
             },
         }
 
@@ -610,7 +621,9 @@
             policy['classes'][class_name].get('urgent', False),
             request.shared_prefix or request.route,
             previous.replica if previous else '',
-            prior=of_ms(route['service_ms']) if 'service_ms' in route else time_limit * SERVICE_TIME_FRACTION,
+            prior_service_time=of_ms(route['service_ms'])
+            if 'service_ms' in route
+            else time_limit * SERVICE_TIME_FRACTION,
         )
         self.check_rules(
             policy,
@@ -645,7 +658,7 @@
             attempts = 0
             while True:
                 attempts += 1
-                may_retry = attempts < admission_state.rules(self.state)['rounds'] and route.get(
+                may_retry = attempts < admission_state.settings(self.state)['rounds'] and route.get(
                     'repeat', True
                 )
                 try:
@@ -769,7 +782,7 @@
             return
         from quillstall.configuration import rules  # imported late: its library is slow to load
 
-        matched = rules.judge(policy['rules'], facts)
+        matched = rules.evaluate(policy['rules'], facts)
         if matched:
             self.ctx.journal.count(f'ruled_out.{matched[0]}')
             raise Fault('ruled_out', f'{matched[0]}: {matched[1]}')
@@ -778,7 +791,7 @@
         self, task: Task, replica: str, disconnected: asyncio.Future, fault: Fault
     ) -> tuple[Task, str]:
         """Admit a task to another replica after a failed attempt; raises `fault` if there is none."""
-        task = task._replace(avoid=task.avoid + (replica,))
+        task = task._replace(excluded_replicas=task.excluded_replicas + (replica,))
         try:
             return task, await self.admit(task, disconnected, retry=True)
         except Fault as e:
@@ -810,7 +823,7 @@
         }
         try:
             reply = await self.call_store(
-                program, command, task.deadline - service_time.least_time(self.state, task, replica)
+                program, command, task.deadline - service_time.required_time(self.state, task, replica)
             )
             return reply['history'], reply['conv']
         except Fault as e:
@@ -843,14 +856,14 @@
         remaining = deadline - clock.now()
         if not admission_state.may_send(state, task.pool, replica, clock.now()):
             raise Fault('unreachable', 'the replica may not get new work')
-        if remaining < service_time.least_time(state, task, replica):
+        if remaining < service_time.required_time(state, task, replica):
             raise Fault(
                 'hopeless',
                 'dropped before it was sent',
-                wait_ms=admission_state.rules(state)['retry_floor_ms'],
+                wait_ms=admission_state.settings(state)['retry_floor_ms'],
             )
         address = state.policy['pools'][task.pool]['replicas'][replica]['address']
-        expected = min(service_time.expected(state, task), max(task.prior, remaining / 2))
+        expected = min(service_time.expected(state, task), max(task.prior_service_time, remaining / 2))
         first_piece_limit = max(remaining - expected, expected * 2) if may_retry else remaining
         body = {
             'route': request.route,
@@ -974,7 +987,7 @@
             received_at,
             policy['classes'][class_name].get('urgent', False),
             service,
-            prior=of_ms(path_policy['service_ms'])
+            prior_service_time=of_ms(path_policy['service_ms'])
             if 'service_ms' in path_policy
             else time_limit * SERVICE_TIME_FRACTION,
         )
@@ -1015,7 +1028,7 @@
                     if (
                         e.code == 'gone'
                         or (e.code != 'unreachable' and at_most_once)
-                        or (attempts >= admission_state.rules(self.state)['rounds'])
+                        or (attempts >= admission_state.settings(self.state)['rounds'])
                     ):
                         raise
                     may_have_run = may_have_run or e.code != 'unreachable'
@@ -1179,7 +1192,7 @@
                     200,
                     {
                         'counters': dict(sorted(self.ctx.journal.counts.items())),
-                        'pressure': admission_state.pressure(self.state),
+                        'pressure': admission_state.demand(self.state),
                     },
                 )
             elif path == '/v1/journal':
@@ -1222,13 +1235,13 @@
             'leased': admission_state.leased(state, now),
             'epoch': state.epoch,
             'leaving': sorted(state.leaving),
-            'allot': state.allot,
-            'used': dict(state.used),
+            'allot': state.allocation,
+            'used': dict(state.used_slots),
             'draining': state.draining,
-            'down': sorted(state.down),
-            'live': state.live,
+            'down': sorted(state.ejections),
+            'live': state.live_nodes,
             'parts': len(self.replica_sets),
-            'service_ms': {r: ms(s.expected) for r, s in state.service.items()},
+            'service_ms': {r: ms(s.expected) for r, s in state.service_times.items()},
             'rates': {p: v.slot_rate for p, v in state.pools.items()},
         }
 
@@ -1240,8 +1253,8 @@
             'generation': state.generation,
             'lease_s': max(0.0, lease),
             'settling': self.background_calls,
-            'replicas_down': len(state.down),
-            **{f'pressure.{pool}': n for pool, n in admission_state.pressure(state).items()},
+            'replicas_down': len(state.ejections),
+            **{f'pressure.{pool}': n for pool, n in admission_state.demand(state).items()},
         }
 
     async def handle_message(self, message: dict) -> dict:
