--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -16,7 +16,7 @@
 from quillstall.controlplane import shelf, weight
 from quillstall.dataplane.node import Node
 from quillstall.network import httpclient
-from quillstall.replication.rendezvous import part_of
+from quillstall.replication.rendezvous import partition_of
 from quillstall.runtime.clock import SystemClock
 from quillstall.runtime.errors import Fault
 
@@ -160,7 +160,7 @@
 def repeats_given_up(context):
     story = context.story
     record = 'h.example k1'
-    part = part_of(record, len(PARTS))
+    part = partition_of(record, len(PARTS))
 
     def row():
         return weight.unpack(story.stores.rows[part][f'once/{record}'])
--- a/features/steps/catching_up.py
+++ b/features/steps/catching_up.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from quillstall.replication import group
-from quillstall.replication.group import Grant, Move, Op, Seat
+from quillstall.replication.group import Grant, Op, ReplicaSet, StartReconfiguration
 from quillstall.runtime.effect import Ask, Done, Heard, Propose, Return, Tick, Told, Write, Wrote
 
 PART = 'p'
@@ -125,7 +125,7 @@
 
     def grant(self, *members, epoch=1, to=None):
         for name in to or self.states:
-            self.feed(name, Grant(PART, Seat(epoch, epoch - 1, *members)))
+            self.feed(name, Grant(PART, ReplicaSet(epoch, epoch - 1, *members)))
 
     def restart(self, name):
         """What was not synced is lost, and so is each message that it was asked."""
@@ -140,7 +140,7 @@
             self.feed(asker, Heard(ask.tag, None))
 
     def copy(self, name):
-        return self.states[name].parts[PART]
+        return self.states[name].partitions[PART]
 
     def serves(self, name):
         """Whether a member answers a read now."""
@@ -172,7 +172,7 @@
     m.stalled.add('a')
     m.release('a', 'b')
     assert m.copy('b').seq == 1 + count and m.copy('c').seq == 1, (m.copy('b').seq, m.copy('c').seq)
-    assert m.copy('a').flight and ('put', 2) not in m.done
+    assert m.copy('a').batch and ('put', 2) not in m.done
 
 
 @when('"{name}" loses its power and starts again')
@@ -187,10 +187,10 @@
     m.put('a', 300)
     m.cuts |= {('a', 'b'), ('b', 'a')}
     m.put('a', 1, first=301)
-    m.feed('a', Move(PART, 'd', Seat(2, 1, *replicas.split(','))))
-    assert m.pass_time(3, lambda: m.proposed), m.copy('a').shift
+    m.feed('a', StartReconfiguration(PART, 'd', ReplicaSet(2, 1, *replicas.split(','))))
+    assert m.pass_time(3, lambda: m.proposed), m.copy('a').reconfiguration
     assert m.copy('d').seq == 301 and m.copy('b').seq == 300, (m.copy('d').seq, m.copy('b').seq)
-    assert not m.copy('d').tail
+    assert not m.copy('d').log
     context.epoch_two = replicas.split(',')
 
 
@@ -204,7 +204,7 @@
     m.put('a', 1, first=count + 1)
     m.disks['b'] = old
     m.restart('b')
-    assert m.copy('b').seq == count - lost and m.copy('a').flight
+    assert m.copy('b').seq == count - lost and m.copy('a').batch
 
 
 @when('"{who}" loses its power in the middle of the transfer')
--- a/features/steps/clocks.py
+++ b/features/steps/clocks.py
@@ -8,12 +8,12 @@
 
 from quillstall.controlplane import leases, store
 from quillstall.controlplane.core_state import Core, Node
-from quillstall.replication.register import GRANTED_PART, LEASE, Word
+from quillstall.replication.register import DEFAULT_LEASE, GRANTED_LEASE_FACTOR, QuorumRecord
 from quillstall.runtime import clock as clocks
 from quillstall.runtime.effect import Tick, Told
 
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
-GRANTED = LEASE * GRANTED_PART
+GRANTED = DEFAULT_LEASE * GRANTED_LEASE_FACTOR
 
 
 @given('a process clock whose wall clock can be set')
@@ -89,13 +89,13 @@
 
 @given('a store that renewed a lease under generation 3')
 def renewed_once(context):
-    state = store.Store('s1', '127.0.0.1:1', 'z1', 1, (), word=Word(3, 1))
+    state = store.Store('s1', '127.0.0.1:1', 'z1', 1, (), word=QuorumRecord(3, 1))
     context.store = renewal(state, 3, EPOCH)
 
 
 @when('it takes generation 4 and renews the lease of the same node one second later')
 def renewed_again(context):
-    state = context.store._replace(word=Word(4, 1))
+    state = context.store._replace(word=QuorumRecord(4, 1))
     context.store = renewal(state, 3, EPOCH + timedelta(seconds=1))
 
 
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -154,8 +154,8 @@
                 c
                 for n in town.named('store')
                 if n in town.hosts
-                for c in town.hosts[n].state.copies.parts.values()
-                if c.seat and c.seat.primary == town.hosts[n].state.me and c.ready
+                for c in town.hosts[n].state.copies.partitions.values()
+                if c.replica_set and c.replica_set.primary == town.hosts[n].state.me and c.ready
             ]
             if len(copies) == 8:
                 served = town.clock.now() - at
@@ -202,19 +202,19 @@
         while served is None and town.clock.now() - at < timedelta(seconds=12):
             await town.sleep(0.05)
             hosts = [
-                town.hosts[n].state.copies.parts
+                town.hosts[n].state.copies.partitions
                 for n in town.named('store')
                 if n != name and town.machines[n].up
             ]
             ready = {
-                p: len(c.seat.members)
+                p: len(c.replica_set.members)
                 for parts in hosts
                 for p, c in parts.items()
                 if c.ready
                 and not c.sealed
-                and c.seat
-                and not any(m.startswith(name) for m in c.seat.members)
-                and c.seat.primary
+                and c.replica_set
+                and not any(m.startswith(name) for m in c.replica_set.members)
+                and c.replica_set.primary
                 in [h for h in [x.me for x in [town.hosts[n].state for n in town.named('store')]]]
             }
             if len(ready) == town.startups[name]['parts']:
@@ -255,11 +255,15 @@
         seat = next((p, s) for p, s in (await town.status())['parts'].items())
         _part, name = seat[0], seat[1][2].rpartition('-')[0]
         old = town.hosts[name].state
-        had = [p for p, c in old.copies.parts.items() if c.seat and c.seat.primary == old.me and c.ready]
+        had = [
+            p
+            for p, c in old.copies.partitions.items()
+            if c.replica_set and c.replica_set.primary == old.me and c.ready
+        ]
         town.world.freeze(town.machines[name])
         await town.sleep(4)
         newest = town.hosts[next(n for n in town.named('store') if n != name)].state.seats
-        assert all(newest[p][0] > old.copies.parts[p].seat.epoch for p in had), (had, newest)
+        assert all(newest[p][0] > old.copies.partitions[p].replica_set.epoch for p in had), (had, newest)
         asks = [
             asyncio.ensure_future(
                 town.hand.net.ask(
--- a/features/steps/disks.py
+++ b/features/steps/disks.py
@@ -16,7 +16,7 @@
 from common import lone_core_settings
 
 from quillstall.controlplane import store
-from quillstall.replication.register import Word
+from quillstall.replication.register import QuorumRecord
 from quillstall.runtime.disk import ASIDE, FILE, CorruptFile, Put, SqliteDisk
 from quillstall.runtime.effect import Heard, Tick, Write, Wrote
 from quillstall.testbed.town import play
@@ -523,7 +523,7 @@
     """One store's reducer, with the effects that it has asked for."""
 
     def __init__(self):
-        word = Word(4, 1, 1, now={'s1': 'a:1'})
+        word = QuorumRecord(4, 1, 1, members={'s1': 'a:1'})
         self.now = datetime(2026, 1, 1, tzinfo=UTC)
         self.state = store.Store('s1', 'a:1', 'z', 1, ('c:1',), core=('c:1',), fleet='f', word=word)
         self.writes = []
--- a/features/steps/failures.py
+++ b/features/steps/failures.py
@@ -80,7 +80,7 @@
         return (
             second,
             [core_state.primary(s) for s in (now, later)],
-            [core_state.copy_of(s).seat for s in (now, later)],
+            [core_state.copy_of(s).replica_set for s in (now, later)],
         )
 
     context.ring = play(context.seed, context.deploy, script)
--- a/features/steps/gateway_turns.py
+++ b/features/steps/gateway_turns.py
@@ -6,7 +6,7 @@
 from gateway import ran
 from standin import EVENT_TOKENS, PARTS, event, said, until
 
-from quillstall.replication.rendezvous import part_of
+from quillstall.replication.rendezvous import partition_of
 
 # ---- turns
 
@@ -61,9 +61,9 @@
 @then('so it is when another program goes on from there, and again from that')
 def next_program(context):
     story = context.story
-    home = part_of('P', len(PARTS))
-    near = next(f'Q{n}' for n in range(99) if part_of(f'Q{n}', len(PARTS)) == home)
-    far = next(f'Q{n}' for n in range(99) if part_of(f'Q{n}', len(PARTS)) != home)
+    home = partition_of('P', len(PARTS))
+    near = next(f'Q{n}' for n in range(99) if partition_of(f'Q{n}', len(PARTS)) == home)
+    far = next(f'Q{n}' for n in range(99) if partition_of(f'Q{n}', len(PARTS)) != home)
     long = FIRST + b'[t2]' + said('t2', 3)
     for tag, program in (('n', near), ('f', far)):
         continued(story, f'{tag}1', 't2', long + f'[{tag}1]'.encode(), 1, program)
@@ -128,7 +128,7 @@
 def settled(story, program='P'):
     """Wait until no turn of a program is open; what it has spent."""
     rows = story.stores.rows
-    key, part = f'prog/{program}', part_of(program, len(PARTS))
+    key, part = f'prog/{program}', partition_of(program, len(PARTS))
     story.run(until(lambda: key in rows[part] and not rows[part][key]['holds']))
     return rows[part][key]['spent']
 
--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -10,7 +10,7 @@
 from quillstall.dataplane.admission import reducer
 from quillstall.dataplane.admission.messages import Arrive, Leave
 from quillstall.replication import group
-from quillstall.replication.group import Copy, Seat
+from quillstall.replication.group import Copy, ReplicaSet
 from quillstall.runtime.effect import Done, Tick, Violated
 from quillstall.runtime.errors import Fault
 
@@ -199,10 +199,10 @@
 
 @when('a copy of a partition is put back by two changes')
 def copy_back(context):
-    copy = Copy('p', Seat(2, 1, 'a', 'b'), seq=7, full=True)
-    box = group.Box(group.State('a', Map({'p': copy})), NOW, None)
+    copy = Copy('p', ReplicaSet(2, 1, 'a', 'b'), seq=7, full=True)
+    box = group.StepContext(group.State('a', Map({'p': copy})), NOW, None)
     box.put(copy._replace(seq=5))
-    context.effects = box.out
+    context.effects = box.effects
 
 
 @when(
@@ -213,7 +213,7 @@
     missing = names[members:]
     rows = {f'member/{n}': {'state': 'replaced' if n in missing[:lost] else 'in'} for n in names}
     rows['part/p00'] = (1, 0, *names)
-    copy = Copy('core', Seat(1, 0, 'c1'), full=True, ready=True, rows=Map(rows))
+    copy = Copy('core', ReplicaSet(1, 0, 'c1'), full=True, ready=True, rows=Map(rows))
     state = core_state.Core(
         'c1', '1:1', 'z', (), group.State('c1', Map({'core': copy})), losses=copies - 1, lone=True
     )
@@ -228,7 +228,7 @@
 
 @when('a core that has acknowledged generation {acked:d} shows generation {shown:d}')
 def shows_older(context, acked, shown):
-    copy = Copy('core', Seat(1, 0, 'c1'), full=True, ready=True, rows=Map({'gen': shown}))
+    copy = Copy('core', ReplicaSet(1, 0, 'c1'), full=True, ready=True, rows=Map({'gen': shown}))
     fleet = {'id': 'f', 'witnesses': (('c1', '1:1'),), 'epoch': 1, 'seat': [1, 0, 'c1']}
     state = core_state.Core(
         'c1',
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -10,7 +10,7 @@
 from quillstall.controlplane import run as controlplane
 from quillstall.dataplane.admission import admission_state
 from quillstall.replication import group, register
-from quillstall.replication.group import Seat
+from quillstall.replication.group import ReplicaSet
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.effect import Tick, Told, Write, Wrote
 from quillstall.runtime.errors import Fault
@@ -66,8 +66,8 @@
     """A core with the one copy of its table, whose other voters keep silent, driven event by event; its disk syncs at once."""
 
     def __init__(self, rows):
-        seat = Seat(1, 0, 'c1')
-        copy = group.Copy('core', seat, full=True, rows=Map(rows), ready=True, heard=START)
+        seat = ReplicaSet(1, 0, 'c1')
+        copy = group.Copy('core', seat, full=True, rows=Map(rows), ready=True, last_confirmed=START)
         fleet = {
             'id': 'f',
             'witnesses': (('c1', '1:1'), ('c2', '2:1'), ('c3', '3:1')),
@@ -244,7 +244,7 @@
     book = context.status['register']
     have = [n for n, v in context.status['nodes'].items() if v['role'] == 'store' and n in book['now']]
     assert context.member not in {**book['now'], **book['old']}, book
-    assert not book['old'] and register.most(have, book['now'], {}), book
+    assert not book['old'] and register.is_majority(have, book['now'], {}), book
 
 
 @when('a store is retired and taken away, and another loses its disk at once')
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -13,7 +13,7 @@
 from platform_folder import FIRST, document, rule
 
 from quillstall.controlplane import book, core
-from quillstall.replication.group import Op, Seat, lay
+from quillstall.replication.group import Op, ReplicaSet, apply_changes
 from quillstall.runtime.effect import Ask, Heard, Return, Tick, Told, Write, Wrote
 from quillstall.runtime.errors import Fault
 from quillstall.testbed.history import History
@@ -170,7 +170,7 @@
 def taken(rows, order):
     """The table after an order, the answer, and what was written."""
     changes, ret = book.apply(rows, order.command(), NOW)
-    return lay(rows, changes), ret, changes
+    return apply_changes(rows, changes), ret, changes
 
 
 def numbers(count):
@@ -697,7 +697,7 @@
         self.now = NOW
         self.state = core.load('c1', startup, {}, 1, NOW)
         crew = (('c1', '10.0.0.1:1'), ('c2', '10.0.0.2:1'), ('c3', '10.0.0.3:1'))
-        seat = Seat(1, 0, 'c1', 'c2')
+        seat = ReplicaSet(1, 0, 'c1', 'c2')
         fleet = {'id': 'f', 'witnesses': crew, 'epoch': 1, 'seat': list(seat)}
         self.state = self.state._replace(fleet=fleet)
         self.returns, self.frames, self.greeting = {}, [], None
--- a/src/quillstall/controlplane/book.py
+++ b/src/quillstall/controlplane/book.py
@@ -8,7 +8,7 @@
 
 from quillstall.configuration.policy import check, merge
 from quillstall.controlplane import requests
-from quillstall.replication.rendezvous import apart
+from quillstall.replication.rendezvous import rank_across_zones
 from quillstall.runtime.errors import Fault
 
 KNOWN_MOST = 2000
@@ -193,7 +193,7 @@
     changes: tuple = (('place', rows.get('place', 0) + 1),)
     for n in range(c['parts']):
         part = f'p{n:02d}'
-        changes += ((f'part/{part}', (1, 0, *apart(part, c['zones'])[: c.get('copies', 2)])),)
+        changes += ((f'part/{part}', (1, 0, *rank_across_zones(part, c['zones'])[: c.get('copies', 2)])),)
     return changes, {'ok': True}
 
 
--- a/src/quillstall/controlplane/core.py
+++ b/src/quillstall/controlplane/core.py
@@ -29,8 +29,8 @@
 from quillstall.network import listing
 from quillstall.network.listing import Listing
 from quillstall.replication import ballot, group, register
-from quillstall.replication.group import Grant, Op, Seat
-from quillstall.replication.rendezvous import apart
+from quillstall.replication.group import Grant, Op, ReplicaSet
+from quillstall.replication.rendezvous import rank_across_zones
 from quillstall.runtime.disk import Put
 from quillstall.runtime.effect import (
     Ask,
@@ -85,7 +85,7 @@
     if kind is Heard and event.tag[0] == 'f':
         return formed(state, event, now, out)
     if kind is Wrote and event.tag[0] == 'w':
-        out.extend(ballot.wrote(event))
+        out.extend(ballot.reply_after_write(event))
         return state
     if kind is Wrote and event.tag[0] == 'f':
         return wrote(state, event, now, out)
@@ -130,15 +130,15 @@
 
 def ballots(state: Core, event: Heard, now: datetime, out: list) -> Core:
     copy = copy_of(state)
-    own = copy.seat if copy and copy.full else None
+    own = copy.replica_set if copy and copy.full else None
     ret = event.ret or {}
     if (
         ret.get('seat')
         and ret.get('crew')
         and ret['seat'][0] > max(state.fleet['epoch'], state.maybe[0] if state.maybe else 0)
     ):
-        state = state._replace(maybe=(ret['seat'][0], ballot.tuples(ret['crew'])))
-    run, effects, events = ballot.heard(
+        state = state._replace(maybe=(ret['seat'][0], ballot.decode_voters(ret['crew'])))
+    run, effects, events = ballot.handle_reply(
         state.run, event, state.me, crews(state), own, lambda yes: membership.seated_next(state, yes), now
     )
     out.extend(effects)
@@ -170,8 +170,8 @@
         return state
     if kind in ballot.KINDS:
         run = state.run
-        witness, effects = ballot.cast(state.witness, event)
-        run = run._replace(seen=max(run.seen, witness.promised))
+        witness, effects = ballot.vote(state.witness, event)
+        run = run._replace(highest_epoch=max(run.highest_epoch, witness.promised))
         out.extend(effects)
         return state._replace(witness=witness, run=run)
     if kind in group.KINDS:
@@ -336,7 +336,7 @@
     have = register_of(state)
     if have['old']:
         know = [n.name for n in state.nodes.values() if n.role == 'store' and n.number >= have['number']]
-        if not register.covers(know, have['now'], have['old']):
+        if not register.intersects_majorities(know, have['now'], have['old']):
             return state
         number, since = state.settled
         if number != have['number']:
@@ -361,7 +361,7 @@
     if not waits or not book.whole(rows, live, copies(state)) or early(state, now):
         return state
     know = [n for n in live if state.nodes[n].number >= have['number']]
-    if have['old'] or not register.most(know, have['now'], {}):
+    if have['old'] or not register.is_majority(know, have['now'], {}):
         return state
     command = {'op': 'emptied', 'name': waits[0], 'live': live, 'copies': copies(state)}
     return feed(state, Op('core', ('c', 'none'), command), now, out)
@@ -499,13 +499,15 @@
     if state.fleet is not None and fleet['id'] == state.fleet['id']:
         if fleet['epoch'] > state.fleet['epoch']:
             out.append(Write((Put('', 'fleet', fleet),), ('none',)))
-            if state.me in dict(crew_of(state)) and state.me not in dict(ballot.tuples(fleet['witnesses'])):
+            if state.me in dict(crew_of(state)) and state.me not in dict(
+                ballot.decode_voters(fleet['witnesses'])
+            ):
                 out.append(
                     Note('swapped_out', {'epoch': fleet['epoch'], 'cause': "another took this one's place"})
                 )
             state = state._replace(fleet=fleet, maybe=None)
         if seat:
-            state = feed(state, Grant('core', Seat(*seat)), now, out)
+            state = feed(state, Grant('core', ReplicaSet(*seat)), now, out)
     if call is not None:
         out.append(Return(call, {'ok': True}))
     return state
@@ -545,7 +547,7 @@
             return state
         names = [(state.me, state.address)] + [(state.hails[s][0], s) for s in others]
         zones = {state.me: state.zone, **{state.hails[s][0]: state.hails[s][1] for s in others}}
-        seat = [1, 0, *apart('core', zones, [state.me])[: copies(state)]]
+        seat = [1, 0, *rank_across_zones('core', zones, [state.me])[: copies(state)]]
         fleet = {'id': f'f-{state.me}', 'witnesses': names, 'epoch': 1, 'seat': seat}
         out.append(Write((Put('', 'forming', fleet),), ('f', 'forming', fleet)))
         return state._replace(forming=fleet)
@@ -570,8 +572,8 @@
     if state.fleet is not None:
         return state
     out.append(Note('formed', {'fleet': fleet['id']}))
-    seat = Seat(*fleet['seat'])
-    state = state._replace(fleet=fleet, forming=None, run=ballot.Campaign(seen=1))
-    if seat.holds(state.me) and seat.epoch == 1:
+    seat = ReplicaSet(*fleet['seat'])
+    state = state._replace(fleet=fleet, forming=None, run=ballot.Campaign(highest_epoch=1))
+    if seat.includes(state.me) and seat.epoch == 1:
         state = feed(state, Grant('core', seat), now, out)
     return state
--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -8,8 +8,8 @@
 
 from quillstall.controlplane import book
 from quillstall.replication import ballot, group, register
-from quillstall.replication.group import Seat
-from quillstall.replication.register import LEASE
+from quillstall.replication.group import ReplicaSet
+from quillstall.replication.register import DEFAULT_LEASE
 from quillstall.runtime.clock import of_ms
 
 STORE_SILENT = timedelta(milliseconds=2000)
@@ -115,7 +115,7 @@
     zone: str
     seeds: tuple
     copies: group.State = group.State('')
-    witness: ballot.Witness = ballot.Witness()
+    witness: ballot.Acceptor = ballot.Acceptor()
     run: ballot.Campaign = ballot.Campaign()
     fleet: dict | None = None
     forming: dict | None = None
@@ -146,7 +146,7 @@
     lone: bool = False  # whether a part is served on by what is left while it is repaired
     heard: Map = Map()  # core -> when it last answered
     wall_ahead: timedelta = timedelta(0)  # how far the wall clock is ahead of the steady one
-    lease: timedelta = LEASE
+    lease: timedelta = DEFAULT_LEASE
     acknowledged: int = 0  # the newest generation that this process has acknowledged to an operator
     silent: timedelta = STORE_SILENT  # so long silent, a store is given up if those that watch it agree
     packed: PackedPolicy = PackedPolicy()  # the policy that was sent last
@@ -154,7 +154,7 @@
     @property
     def granted(self) -> timedelta:
         """How long this process counts a lease that it gave."""
-        return self.lease * register.GRANTED_PART
+        return self.lease * register.GRANTED_LEASE_FACTOR
 
 
 def first_dice(me: str, count: int) -> int:
@@ -177,12 +177,14 @@
     True
     """
     own = rows.get('', {})
-    state = group.load(me, rows, count, beats=True)
-    copy = state.parts.get('core')
+    state = group.load(me, rows, count, heartbeats=True)
+    copy = state.partitions.get('core')
     if copy:
-        state = state._replace(parts=state.parts.set('core', copy._replace(heard=now)))
+        state = state._replace(partitions=state.partitions.set('core', copy._replace(last_confirmed=now)))
     witness = ballot.load(own)
-    run = ballot.Campaign(seen=max(witness.promised, copy.seat.epoch if copy and copy.seat else 0))
+    run = ballot.Campaign(
+        highest_epoch=max(witness.promised, copy.replica_set.epoch if copy and copy.replica_set else 0)
+    )
     return Core(
         me,
         startup['address'],
@@ -200,7 +202,7 @@
         losses=startup.get('losses', 1),
         lone=startup.get('lone', False),
         silent=of_ms(startup['silent_ms']) if 'silent_ms' in startup else STORE_SILENT,
-        lease=of_ms(startup['lease_ms']) if 'lease_ms' in startup else LEASE,
+        lease=of_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
     )
 
 
@@ -217,15 +219,15 @@
 
 def crew_of(state: Core) -> tuple:
     """The witnesses that are in force: `crew_of(state)`."""
-    return ballot.tuples((state.fleet or {}).get('witnesses')) or ()
+    return ballot.decode_voters((state.fleet or {}).get('witnesses')) or ()
 
 
 def crew_next(state: Core) -> tuple:
     """The crew that the next seat goes with: the newest that may have been granted."""
     since = (state.fleet or {}).get('epoch', 0)
     best = (since, crew_of(state))
-    if state.witness.seat and state.witness.crew and state.witness.seat[0] > best[0]:
-        best = (state.witness.seat[0], state.witness.crew)
+    if state.witness.replica_set and state.witness.voters and state.witness.replica_set[0] > best[0]:
+        best = (state.witness.replica_set[0], state.witness.voters)
     if state.maybe and state.maybe[0] > best[0]:
         best = state.maybe
     return best[1]
@@ -234,7 +236,10 @@
 def crews(state: Core) -> tuple:
     """All crews of which a majority is needed now: `crews(state)`."""
     out = [crew_of(state)]
-    for crew in (crew_next(state), state.run.crew if state.run.stage in ('ask', 'move', 'accept') else None):
+    for crew in (
+        crew_next(state),
+        state.run.voters if state.run.stage in ('ask', 'move', 'accept') else None,
+    ):
         if crew and crew not in out:
             out.append(crew)
     return tuple(out)
@@ -246,7 +251,7 @@
 
 
 def copy_of(state: Core) -> group.Copy | None:
-    return state.copies.parts.get('core')
+    return state.copies.partitions.get('core')
 
 
 def rows_of(state: Core) -> Map:
@@ -254,15 +259,17 @@
     copy = copy_of(state)
     if copy is None:
         return Map()
-    if copy.flight is not None and copy.flight.before is not None:
-        return copy.flight.before
+    if copy.batch is not None and copy.batch.rows_before is not None:
+        return copy.batch.rows_before
     return copy.rows
 
 
 def primary(state: Core) -> bool:
     """Whether this process is the ready primary: `primary(state)`."""
     copy = copy_of(state)
-    return bool(copy and copy.seat and copy.full and copy.ready and copy.seat.primary == state.me)
+    return bool(
+        copy and copy.replica_set and copy.full and copy.ready and copy.replica_set.primary == state.me
+    )
 
 
 def copies(state: Core) -> int:
@@ -274,16 +281,16 @@
     return state.losses + 1
 
 
-def newest(state: Core) -> Seat | None:
+def newest(state: Core) -> ReplicaSet | None:
     """The newest seat that this process has heard of: `newest(state)`."""
     copy = copy_of(state)
-    known = [copy.seat if copy else None, state.witness.seat, (state.fleet or {}).get('seat')]
-    return max((Seat(*s) for s in known if s), key=lambda s: s.epoch, default=None)
+    known = [copy.replica_set if copy else None, state.witness.replica_set, (state.fleet or {}).get('seat')]
+    return max((ReplicaSet(*s) for s in known if s), key=lambda s: s.epoch, default=None)
 
 
 def register_of(state: Core) -> dict:
     """The stores of which majorities count now: `register_of(state)['now']`."""
-    return rows_of(state).get('register') or register.NEVER
+    return rows_of(state).get('register') or register.EMPTY_REGISTER
 
 
 def early(state: Core, now: datetime) -> bool:
--- a/src/quillstall/controlplane/leases.py
+++ b/src/quillstall/controlplane/leases.py
@@ -190,7 +190,7 @@
         out.append(Return(poll.call, Fault('moved', 'not the primary now').pack()))
         return state
     gen, place = rows.get('gen', 0), rows.get('place', 0)
-    seat = copy_of(state).seat
+    seat = copy_of(state).replica_set
     ret = {
         'ok': True,
         'generation': gen,
@@ -204,7 +204,7 @@
     if newer(node, gen):
         ret.update(policy_for(node, state.packed))
         ret['leaving'] = [n for n, _ in book.named(rows, 'leaving/')]
-    book_now = rows.get('register') or register.NEVER
+    book_now = rows.get('register') or register.EMPTY_REGISTER
     if node.number < book_now['number']:
         ret['register'] = book_now
     if node.place != place:
@@ -254,7 +254,7 @@
     """Whether every majority of the registers that count has a store with the generation on its disk."""
     book_now = register_of(state)
     have = [n.name for n in state.nodes.values() if n.role == 'store' and n.generation >= generation]
-    return register.covers(have, book_now['now'], book_now['old'])
+    return register.intersects_majorities(have, book_now['now'], book_now['old'])
 
 
 def late(state: Core, generation: int, now: datetime) -> list[str]:
--- a/src/quillstall/controlplane/membership.py
+++ b/src/quillstall/controlplane/membership.py
@@ -13,7 +13,7 @@
     primary,
 )
 from quillstall.replication import ballot
-from quillstall.replication.group import Seat
+from quillstall.replication.group import ReplicaSet
 from quillstall.runtime.disk import Put
 from quillstall.runtime.effect import Ask, Note, Propose, Return, Told, Violated, Write
 from quillstall.runtime.errors import Fault
@@ -32,24 +32,26 @@
     There are never fewer members than copies are needed: where two or more are silent, one of them stays a
     member until the next round, and nothing is acknowledged until then."""
     copy = copy_of(state)
-    if copy is None or copy.seat is None:
+    if copy is None or copy.replica_set is None:
         return None
     wanted = copies(state)
-    old = [n for n in copy.seat.others(state.me) if n in yes and n != copy.seat.primary]
-    back = [n for n in copy.seat.others(state.me) if n in yes and n == copy.seat.primary]
-    outside = [n for n, _ in crew_next(state) if not copy.seat.holds(n) and n in yes]
-    if state.run.losses % 3 == 2 or not outside:
+    old = [n for n in copy.replica_set.others(state.me) if n in yes and n != copy.replica_set.primary]
+    back = [n for n in copy.replica_set.others(state.me) if n in yes and n == copy.replica_set.primary]
+    outside = [n for n, _ in crew_next(state) if not copy.replica_set.includes(n) and n in yes]
+    if state.run.failed_rounds % 3 == 2 or not outside:
         others = (old + back)[: wanted - 1]
     else:
         others = [*old[: wanted - 2], outside[0]]
     if not others:
         return None
-    silent = [n for n in copy.seat.others(state.me) if n not in others]
+    silent = [n for n in copy.replica_set.others(state.me) if n not in others]
     return (state.me, *others, *silent[: wanted - 1 - len(others)])
 
 
 def propose(state: Core, effect: Propose, now: datetime, out: list) -> Core:
-    run, more = ballot.propose(state.run, effect.seat, crews(state), state.run.crew or crew_next(state), now)
+    run, more = ballot.propose(
+        state.run, effect.seat, crews(state), state.run.voters or crew_next(state), now
+    )
     out.extend(more)
     return state._replace(run=run)
 
@@ -57,21 +59,27 @@
 def won(state: Core, now: datetime, out: list) -> Core:
     """The witnesses have accepted: put the crew in force and tell everyone."""
     old = crew_of(state)
-    seat = Seat(*state.run.seat)
+    seat = ReplicaSet(*state.run.replica_set)
     before = copy_of(state)
-    if before and before.seat and len(seat.members) < min(copies(state), len(before.seat.members)):
-        facts = {'part': 'core', 'seat': list(seat), 'before': list(before.seat)}
+    if (
+        before
+        and before.replica_set
+        and len(seat.members) < min(copies(state), len(before.replica_set.members))
+    ):
+        facts = {'part': 'core', 'seat': list(seat), 'before': list(before.replica_set)}
         out.append(Violated('enough_members', facts))
     swap = state.swap
-    gone = [list(w) for w in old if w[0] not in dict(state.run.crew)]
+    gone = [list(w) for w in old if w[0] not in dict(state.run.voters)]
     fleet = {
         **state.fleet,
-        'witnesses': state.run.crew,
+        'witnesses': state.run.voters,
         'epoch': seat.epoch,
         'seat': list(seat),
         'gone': (list(state.fleet.get('gone', ())) + gone)[-GONE_MOST:],
     }
-    state = state._replace(fleet=fleet, maybe=None, run=ballot.Campaign(seen=state.run.seen))
+    state = state._replace(
+        fleet=fleet, maybe=None, run=ballot.Campaign(highest_epoch=state.run.highest_epoch)
+    )
     out.append(Write((Put('', 'fleet', fleet),), ('none',)))
     for name, address in {**dict(old), **dict(fleet['witnesses'])}.items():
         if name != state.me:
@@ -111,21 +119,23 @@
 def stand(state: Core, now: datetime, out: list) -> Core:
     """Stand for the primacy if the other seated member has been silent."""
     copy = copy_of(state)
-    if copy is None or copy.seat is None or not copy.full or not copy.seat.holds(state.me):
+    if copy is None or copy.replica_set is None or not copy.full or not copy.replica_set.includes(state.me):
         return state
-    if state.run.stage != 'idle' or copy.heard is None or state.me not in dict(crew_next(state)):
+    if state.run.stage != 'idle' or copy.last_confirmed is None or state.me not in dict(crew_next(state)):
         return state
     dice = (state.dice * 1103515245 + 12345) % 2**31
     rest = timedelta(milliseconds=200 + dice % 600)
     state = state._replace(dice=dice)
-    if now - copy.heard < max(SILENT, state.silent) or (state.run.rest and now - state.run.rest < rest):
+    if now - copy.last_confirmed < max(SILENT, state.silent) or (
+        state.run.failed_at and now - state.run.failed_at < rest
+    ):
         return state
-    run, effects = ballot.begin(
+    run, effects = ballot.start_round(
         state.run,
         state.me,
         crews(state),
         now,
-        f'{", ".join(copy.seat.others(state.me))} silent since {copy.heard.isoformat()}',
+        f'{", ".join(copy.replica_set.others(state.me))} silent since {copy.last_confirmed.isoformat()}',
     )
     out.extend(effects)
     return state._replace(run=run)
@@ -215,28 +225,28 @@
     """Bring another copy into the core's seat where it has fewer than it should."""
     copy = copy_of(state)
     if (
-        len(copy.seat.members) >= copies(state)
+        len(copy.replica_set.members) >= copies(state)
         or state.run.stage != 'idle'
-        or (state.run.rest and now - state.run.rest < timedelta(milliseconds=800))
+        or (state.run.failed_at and now - state.run.failed_at < timedelta(milliseconds=800))
     ):
         return state
     order = [
         n
         for n, _ in crew_of(state)
-        if not copy.seat.holds(n)
+        if not copy.replica_set.includes(n)
         and n in state.heard
         and now - state.heard[n] < 2 * len(crew_of(state)) * timedelta(seconds=1)
     ]
     if not order or now - state.seated < SILENT:
         return state
-    run, effects = ballot.begin(
+    run, effects = ballot.start_round(
         state.run,
         state.me,
         crews(state),
         now,
-        f'{len(copy.seat.members)} copies of the core',
+        f'{len(copy.replica_set.members)} copies of the core',
         None,
-        (*copy.seat.members, order[0]),
+        (*copy.replica_set.members, order[0]),
     )
     out.extend(effects)
     return state._replace(run=run)
@@ -252,17 +262,17 @@
         address, guest = waits[0]
         out.append(Note('swap', {'out': name, 'in': guest[0], 'cause': 'it was told to stop'}))
         state = state._replace(swap=Swap(None, name, guest[0], address, now))
-    elif voter and copy.seat.holds(name) and not busy:
+    elif voter and copy.replica_set.includes(name) and not busy:
         members = members_without(state, name, now)
         if members is None:
             out.append(Return(event.call, {'ok': True, 'wait': False}))
             return state
-        run, effects = ballot.begin(
+        run, effects = ballot.start_round(
             state.run, state.me, crews(state), now, f'{name} was told to stop', None, members
         )
         out.extend(effects)
         state = state._replace(run=run)
-    wait = voter and (bool(waits) or copy.seat.holds(name))
+    wait = voter and (bool(waits) or copy.replica_set.includes(name))
     out.append(Return(event.call, {'ok': True, 'wait': wait}))
     return state
 
@@ -271,10 +281,10 @@
     """As many members as now without one of them, the primary first; None if too few others are there."""
     copy = copy_of(state)
     here = [n for n in state.heard if now - state.heard[n] < HEARD_LATELY and n != name]
-    stay = [n for n in copy.seat.members if n != name and (n == state.me or n in here)]
-    others = [n for n, _ in crew_of(state) if n in here and not copy.seat.holds(n)]
-    members = (*stay, *others)[: len(copy.seat.members)]
-    return members if stay and len(members) == len(copy.seat.members) else None
+    stay = [n for n in copy.replica_set.members if n != name and (n == state.me or n in here)]
+    others = [n for n, _ in crew_of(state) if n in here and not copy.replica_set.includes(n)]
+    members = (*stay, *others)[: len(copy.replica_set.members)]
+    return members if stay and len(members) == len(copy.replica_set.members) else None
 
 
 def over(state: Core) -> Core:
@@ -297,9 +307,9 @@
     if swap is None or state.run.stage != 'idle' or not primary(state):
         return state
     crew = crew_to(state, swap)
-    rest = [n for n, _ in crew if n != swap.old and not copy.seat.holds(n)]
-    members = tuple(n for n in copy.seat.members if n != swap.old)
-    if len(members) < len(copy.seat.members):
+    rest = [n for n, _ in crew if n != swap.old and not copy.replica_set.includes(n)]
+    members = tuple(n for n in copy.replica_set.members if n != swap.old)
+    if len(members) < len(copy.replica_set.members):
         members += (
             next(
                 (
@@ -310,7 +320,7 @@
                 rest[0],
             ),
         )
-    run, effects = ballot.begin(
+    run, effects = ballot.start_round(
         state.run, state.me, crews(state) + (crew,), now, f'{swap.new} for {swap.old}', crew, members
     )
     out.extend(effects)
--- a/src/quillstall/controlplane/placement.py
+++ b/src/quillstall/controlplane/placement.py
@@ -4,8 +4,8 @@
 
 from quillstall.controlplane import book
 from quillstall.controlplane.core_state import FRESH, VOUCHED, Core, Node, copies, register_of, rows_of
-from quillstall.replication.group import Seat
-from quillstall.replication.rendezvous import apart
+from quillstall.replication.group import ReplicaSet
+from quillstall.replication.rendezvous import rank_across_zones
 from quillstall.runtime.effect import Note, Violated
 
 MOVES_AT_ONCE = 4
@@ -133,7 +133,7 @@
     lost = disks_lost(state)
     urgent, repair, calm = [], [], []
     for part, raw in book.named(rows, 'part/'):
-        seat = Seat(*raw)
+        seat = ReplicaSet(*raw)
         silent = silent_members(seat, live, stuck.get(seat.primary, {}).get((part, seat.epoch)))
         here = [n for n in seat.members if n in live and n not in silent]
         if not here:
@@ -144,7 +144,7 @@
             continue  # who is only silent may be there
         least = least_members(most, missing, lost)
         leader = here[0]
-        order = [n for n in apart(part, good, stay) if n not in seat.members]
+        order = [n for n in rank_across_zones(part, good, stay) if n not in seat.members]
         order.sort(key=lambda n: (n in mute, live[n].relayed))  # last: who may be gone, or cut off
         if len(here) < len(seat.members) and len(stay) >= least:
             urgent.append((part, leader, leader, (seat.epoch + 1, seat.epoch, *stay)))
@@ -168,17 +168,17 @@
     return (repair[turn:] + repair[:turn])[:REPAIRS_AT_ONCE] or calm[:MOVES_AT_ONCE]
 
 
-def silent_members(seat: Seat, live: dict[str, Node], mute: set[str] | None) -> set[str]:
+def silent_members(seat: ReplicaSet, live: dict[str, Node], mute: set[str] | None) -> set[str]:
     """The members to do without, where the primary says that the partition stands still and for whose
     confirmation it waits (`mute`); nobody where it says nothing. Members that reach the core through a peer
     only are cut off, and the others' word counts: a partition that works is left as it is even then, as the
     core's own link may be what is full.
 
     >>> node = Node('a', 'store', '1:1', 'z', 1)
-    >>> live, seat = {'a': node, 'b': node._replace(relayed=True)}, Seat(2, 1, 'a', 'b')
+    >>> live, seat = {'a': node, 'b': node._replace(relayed=True)}, ReplicaSet(2, 1, 'a', 'b')
     >>> silent_members(seat, live, None), silent_members(seat, live, {'b'}), silent_members(seat, live, set())
     (set(), {'b'}, {'b'})
-    >>> silent_members(Seat(2, 1, 'b', 'a'), live, {'a'}), silent_members(Seat(2, 1, 'a', 'c'), live, set())
+    >>> silent_members(ReplicaSet(2, 1, 'b', 'a'), live, {'a'}), silent_members(ReplicaSet(2, 1, 'a', 'c'), live, set())
     ({'b'}, {'a'})
     """
     if mute is None:
@@ -202,19 +202,19 @@
     return members + back[: max(0, least - len(members))]
 
 
-def better(part: str, seat: Seat, good: dict[str, str], most: int) -> list[str] | None:
+def better(part: str, seat: ReplicaSet, good: dict[str, str], most: int) -> list[str] | None:
     """The members of a part after one step towards where it should sit, the joiner last; None if it sits
     well, or the step would bring its copies into fewer zones.
 
     >>> zones = {'a': 'x', 'b': 'y', 'c': 'z'}
-    >>> best = apart('p00', zones)[:2]; other = next(n for n in zones if n not in best)
-    >>> better('p00', Seat(1, 0, *best), zones, 2) is None
+    >>> best = rank_across_zones('p00', zones)[:2]; other = next(n for n in zones if n not in best)
+    >>> better('p00', ReplicaSet(1, 0, *best), zones, 2) is None
     True
-    >>> better('p00', Seat(1, 0, best[0], other), zones, 2) == list(best)
+    >>> better('p00', ReplicaSet(1, 0, best[0], other), zones, 2) == list(best)
     True
     """
-    best = apart(part, good)[:most]
-    new = [n for n in best if not seat.holds(n)]
+    best = rank_across_zones(part, good)[:most]
+    new = [n for n in best if not seat.includes(n)]
     gone = [n for n in seat.members if n not in best]
     extra = len(seat.members) - most
     if not new and extra <= 0:
--- a/src/quillstall/controlplane/status.py
+++ b/src/quillstall/controlplane/status.py
@@ -26,7 +26,7 @@
         'role': 'core',
         'fleet': (state.fleet or {}).get('id'),
         'crew': state.fleet,
-        'sure': list(copy.seat) if copy and copy.seat else None,
+        'sure': list(copy.replica_set) if copy and copy.replica_set else None,
         'core': [a for _, a in (state.fleet or {}).get('witnesses', ())],
         'seat': list(best) if best else None,
         'at': where(state, best.primary) if best else None,
@@ -37,7 +37,7 @@
     """What this process knows of the fleet, its rows by themselves or as they were confirmed:
     `status(state, now)`."""
     rows = rows_of(state) if rows is None else rows
-    registered = rows.get('register') or register.NEVER
+    registered = rows.get('register') or register.EMPTY_REGISTER
     copy = copy_of(state)
     nodes = {}
     gen = rows.get('gen', 0)
@@ -80,7 +80,7 @@
         'me': state.me,
         'primary': primary(state),
         'seated_ms': since,
-        'seat': list(copy.seat) if copy and copy.seat else None,
+        'seat': list(copy.replica_set) if copy and copy.replica_set else None,
         'fleet': (state.fleet or {}).get('id'),
         'generation': gen,
         'place': rows.get('place', 0),
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -8,9 +8,9 @@
 from quillstall.controlplane import shelf
 from quillstall.network.packing import with_policy
 from quillstall.replication import group, register, watch
-from quillstall.replication.group import Grant, Move, Op, Seat
-from quillstall.replication.register import LEASE, Word
-from quillstall.replication.watch import SILENT, Watch
+from quillstall.replication.group import Grant, Op, ReplicaSet, StartReconfiguration
+from quillstall.replication.register import DEFAULT_LEASE, QuorumRecord
+from quillstall.replication.watch import DEFAULT_SILENCE, Watch
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.disk import Put
 from quillstall.runtime.effect import Ask, Count, Done, Heard, Propose, Return, Tick, Told, Write, Wrote
@@ -49,8 +49,8 @@
     known: tuple = ()  # addresses of routing nodes
     news: datetime | None = None  # when the core last answered
     greeted: datetime | None = None
-    word: Word = Word()  # what this store says to routing nodes without a core: it is synced
-    next: Word | None = None  # the word that is being written
+    word: QuorumRecord = QuorumRecord()  # what this store says to routing nodes without a core: it is synced
+    next: QuorumRecord | None = None  # the word that is being written
     renewed: Map = Map()  # (routing node, under which generation) -> when last
     fleet: str | None = None
     poll: int = 0
@@ -66,15 +66,15 @@
     fails: int = 0
     http: str | None = None
     shy: Map = Map()  # cores that were silent lately, and until when to believe it
-    silent: timedelta = SILENT  # so long silent, a peer is given up
+    silent: timedelta = DEFAULT_SILENCE  # so long silent, a peer is given up
     blocked: bool = False  # its disk takes nothing: it has said so, and says nothing more
     wall_ahead: timedelta = timedelta(0)  # how far the wall clock is ahead of the steady one
-    lease: timedelta = LEASE
+    lease: timedelta = DEFAULT_LEASE
 
     @property
     def granted(self) -> timedelta:
         """How long this process counts a lease that it gave."""
-        return self.lease * register.GRANTED_PART
+        return self.lease * register.GRANTED_LEASE_FACTOR
 
 
 def load(me: str, startup: dict, rows: dict, count: int, now: datetime) -> Store:
@@ -87,10 +87,10 @@
     """
     own = rows.get('', {})
     place, seats, names, known = own.get('map') or (0, {}, {}, ())
-    word = register.read(own.get('word'))
+    word = register.decode_record(own.get('word'))
     # what it renewed before this start is forgotten: count any lease as renewed now
     renewed = Map({(register.ANY_NODE, 0): now}) if word.number else Map()
-    silent = of_ms(startup['silent_ms']) if 'silent_ms' in startup else SILENT
+    silent = of_ms(startup['silent_ms']) if 'silent_ms' in startup else DEFAULT_SILENCE
     return Store(
         me,
         startup['address'],
@@ -108,8 +108,8 @@
         word=word,
         renewed=renewed,
         silent=silent,
-        watch=Watch(silent=silent, patience=silent * WATCH_PART),
-        lease=of_ms(startup['lease_ms']) if 'lease_ms' in startup else LEASE,
+        watch=Watch(silence=silent, suspect_after=silent * WATCH_PART),
+        lease=of_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
     )
 
 
@@ -120,7 +120,7 @@
     return state.book.get(to)
 
 
-def apply_at_wall_time(wall_ahead: timedelta) -> group.Apply:
+def apply_at_wall_time(wall_ahead: timedelta) -> group.ApplyCommand:
     """The group's way to the shelf. The times kept there are compared with other stores' and outlast a
     restart: they are wall times, `apply_at_wall_time(state.wall_ahead)('p00', rows, command, now)`."""
 
@@ -150,11 +150,11 @@
         state = answered(state, event, now, out)
     elif kind is Heard and event.tag[0] == 'seat':
         if event.ret and 'fault' not in event.ret:
-            state = feed(state, Grant(event.tag[1], Seat(*event.ret['seat'])), now, out)
+            state = feed(state, Grant(event.tag[1], ReplicaSet(*event.ret['seat'])), now, out)
         elif event.ret and event.ret['fault'] == 'core_away' and event.ret['more'].get('at'):
             state = state._replace(at=event.ret['more']['at'])
     elif kind is Heard and event.tag[0] == 'ping':
-        state = state._replace(watch=watch.heard(state.watch, event.tag[1], event.ret, now))
+        state = state._replace(watch=watch.record_ping(state.watch, event.tag[1], event.ret, now))
     elif kind is Heard and event.tag[0] == 'relay':
         out.append(Return(event.tag[1], event.ret or Fault('slow', 'no core answered').pack()))
     elif kind is Heard and event.tag[0] == 'who':
@@ -229,14 +229,14 @@
     elif kind == 'status':
         parts = {
             p: {
-                'seat': list(c.seat) if c.seat else None,
+                'seat': list(c.replica_set) if c.replica_set else None,
                 'seq': c.seq,
                 'full': c.full,
                 'sealed': c.sealed,
                 'ready': c.ready,
                 'rows': len(c.rows),
             }
-            for p, c in sorted(state.copies.parts.items())
+            for p, c in sorted(state.copies.partitions.items())
         }
         out.append(
             Return(
@@ -248,7 +248,11 @@
                     'zone': state.zone,
                     'place': state.place,
                     'generation': state.word.generation,
-                    'register': [state.word.number, sorted(state.word.now), sorted(state.word.old)],
+                    'register': [
+                        state.word.number,
+                        sorted(state.word.members),
+                        sorted(state.word.previous_members),
+                    ],
                     'renewed': leases(state, now),
                     'parts': parts,
                 },
@@ -265,7 +269,7 @@
 
     >>> from datetime import UTC
     >>> t, out = datetime(2026, 1, 1, tzinfo=UTC), []
-    >>> s = Store('s1', 'a:1', 'z', 1, (), word=Word(4, 1))
+    >>> s = Store('s1', 'a:1', 'z', 1, (), word=QuorumRecord(4, 1))
     >>> s = renew(s, Told(1, {'node': 'n1', 'generation': 3, 'number': 1, 'place': 0}), t, out)
     >>> out[0].ret['word'][:2], list(s.renewed)
     ([4, 1], [('n1', 4)])
@@ -309,7 +313,7 @@
         or (state.greeted is not None and now - state.greeted < GREET_EVERY)
     ):
         return state
-    book = {'number': state.word.number, 'now': state.word.now, 'old': state.word.old}
+    book = {'number': state.word.number, 'now': state.word.members, 'old': state.word.previous_members}
     message = {'k': 'greet', 'fleet': state.fleet, 'core': list(state.core), 'register': book}
     for address in state.known:
         out.append(Ask(address, message, ('greet', address)))
@@ -324,9 +328,9 @@
     []
     """
     return sorted(
-        [p, epoch, list(mute(state.copies.parts[p]))]
+        [p, epoch, list(mute(state.copies.partitions[p]))]
         for p, (epoch, at) in state.since.items()
-        if p in state.copies.parts and now - at > stands_still(state, state.copies.parts[p])
+        if p in state.copies.partitions and now - at > stands_still(state, state.copies.partitions[p])
     )
 
 
@@ -339,27 +343,31 @@
 def mute(copy: group.Copy) -> tuple:
     """The backups that a primary waits for.
 
-    >>> mute(group.Copy('p', Seat(1, 0, 'a', 'b', 'c'), met=Map({'b': (1, ())})))
+    >>> mute(group.Copy('p', ReplicaSet(1, 0, 'a', 'b', 'c'), backup_positions=Map({'b': (1, ())})))
     ('c',)
     """
-    if copy.ready and copy.flight:
-        return copy.flight.want
-    return tuple(b for b in copy.seat.backups if b not in copy.met) if copy.seat else ()
+    if copy.ready and copy.batch:
+        return copy.batch.awaiting
+    return (
+        tuple(b for b in copy.replica_set.backups if b not in copy.backup_positions)
+        if copy.replica_set
+        else ()
+    )
 
 
 def waits(state: Store, now: datetime) -> Store:
     """Note since when a part has not been served."""
     since = state.since
-    for part, copy in state.copies.parts.items():
-        mine = copy.seat is not None and copy.seat.primary == state.me and copy.full
+    for part, copy in state.copies.partitions.items():
+        mine = copy.replica_set is not None and copy.replica_set.primary == state.me and copy.full
         well = (
             copy.ready
             and not copy.sealed
-            and (copy.flight is None or now - (copy.heard or now) < CONFIRM_LIMIT)
+            and (copy.batch is None or now - (copy.last_confirmed or now) < CONFIRM_LIMIT)
         )
-        if mine and not well and not (copy.sealed and copy.shift):
-            if part not in since or since[part][0] != copy.seat.epoch:
-                since = since.set(part, (copy.seat.epoch, now))
+        if mine and not well and not (copy.sealed and copy.reconfiguration):
+            if part not in since or since[part][0] != copy.replica_set.epoch:
+                since = since.set(part, (copy.replica_set.epoch, now))
         elif part in since:
             since = since.delete(part)
     return state._replace(since=since)
@@ -399,7 +407,7 @@
         'unpacks': True,
         'suspects': watch.suspects(state.watch, now),
         'facts': {
-            'parts': len(state.copies.parts),
+            'parts': len(state.copies.partitions),
             'http': state.http,
             'clock': (now + state.wall_ahead).timestamp(),
         },
@@ -465,7 +473,7 @@
         core=core,
         news=now,
         fails=0 if state.asked else state.fails,
-        watch=watch.take(state.watch, ret, now),
+        watch=watch.with_peers(state.watch, ret, now),
     )
     if 'seats' in ret:
         state = state._replace(
@@ -475,19 +483,19 @@
             Write((Put('', 'map', [ret['place'], ret['seats'], ret['book'], ret['known']]),), ('none',))
         )
         for part, raw in sorted(ret['seats'].items()):
-            state = feed(state, Grant(part, Seat(*raw)), now, out)
+            state = feed(state, Grant(part, ReplicaSet(*raw)), now, out)
     for part, _, joiner, raw in ret.get('plans', ()):
-        state = feed(state, Move(part, joiner, Seat(*raw)), now, out)
+        state = feed(state, StartReconfiguration(part, joiner, ReplicaSet(*raw)), now, out)
     newest = state.next or state.word
-    word = register.taken(newest, ret)
+    word = register.with_update(newest, ret)
     if word != newest:  # said, and polled with, only once it is synced
-        word = word._replace(live=ret['live'])
+        word = word._replace(routing_nodes=ret['live'])
         out.append(Write((Put('', 'word', list(word)),), ('word', word)))
         return state._replace(next=word)
     return poll(state, now, out) if state.next is None else state
 
 
-def word_synced(state: Store, word: Word, now: datetime, out: list) -> Store:
+def word_synced(state: Store, word: QuorumRecord, now: datetime, out: list) -> Store:
     """A word is on disk; a newer one may still be on its way there, if a blocked store's last poll brought it."""
     state = state._replace(word=word, next=None if state.next == word else state.next)
     return state if state.out or state.next is not None else poll(state, now, out)
@@ -499,12 +507,12 @@
 
     >>> from datetime import UTC
     >>> t, out = datetime(2026, 1, 1, tzinfo=UTC), []
-    >>> copies = group.State('s1', Map({'p': group.Copy('p', Seat(1, 0, 's1'), full=True)}))
+    >>> copies = group.State('s1', Map({'p': group.Copy('p', ReplicaSet(1, 0, 's1'), full=True)}))
     >>> s = last_word(Store('s1', 'a:1', 'z', 1, ('c:1',), copies, core=('c:1',)), t, out)
     >>> out[0].message['stuck'], len(out), poll(s, t, out).poll == s.poll
     ([['p', 1, []]], 1, True)
     """
-    seats = {p: c.seat for p, c in state.copies.parts.items() if c.seat}
+    seats = {p: c.replica_set for p, c in state.copies.partitions.items() if c.replica_set}
     own = sorted([p, seat.epoch, []] for p, seat in seats.items() if seat.primary == state.me)
     return poll(state, now, out, own)._replace(blocked=True)
 
@@ -512,10 +520,10 @@
 def tick(state: Store, now: datetime, out: list) -> Store:
     state = feed(state._replace(blocked=False), Tick(), now, out)
     state = waits(state, now)
-    seen, asks = watch.due(state.watch, now)
+    seen, asks = watch.due_pings(state.watch, now)
     state = state._replace(watch=seen)
     for name, address in asks:
-        out.append(Ask(address, {'k': 'who'}, ('ping', name), watch.PING_LIMIT_MS))
+        out.append(Ask(address, {'k': 'who'}, ('ping', name), watch.PING_TIMEOUT_MS))
     state = greet(state, now, out)
     if state.renewed:
         running = {lease: at for lease, at in state.renewed.items() if now - at <= state.granted}
@@ -527,8 +535,8 @@
         state = poll(state, now, out, unserved)  # at once, beside the one that the core may hold for a while
     if state.swept is None or now - state.swept > SWEEP_EVERY:
         state = state._replace(swept=now)
-        for part, copy in sorted(state.copies.parts.items()):
-            if copy.ready and copy.seat.primary == state.me:
+        for part, copy in sorted(state.copies.partitions.items()):
+            if copy.ready and copy.replica_set.primary == state.me:
                 state = feed(
                     state,
                     Op(
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -27,8 +27,8 @@
 from quillstall.network.listing import Listing
 from quillstall.network.packing import with_policy
 from quillstall.replication import register, watch
-from quillstall.replication.register import LEASE
-from quillstall.replication.rendezvous import part_of
+from quillstall.replication.register import DEFAULT_LEASE
+from quillstall.replication.rendezvous import partition_of
 from quillstall.replication.watch import Watch
 from quillstall.runtime import metrics
 from quillstall.runtime.clock import ms, of_ms
@@ -77,9 +77,9 @@
         self.fleet: str | None = None
         self.core: list[str] = list(ctx.startup['seeds'])
         self.core_at: str | None = None
-        self.register = register.NEVER
-        self.lease = of_ms(ctx.startup['lease_ms']) if 'lease_ms' in ctx.startup else LEASE
-        self.watch = Watch(silent=of_ms(ctx.startup['silent_ms'])) if 'silent_ms' in ctx.startup else Watch()
+        self.register = register.EMPTY_REGISTER
+        self.lease = of_ms(ctx.startup['lease_ms']) if 'lease_ms' in ctx.startup else DEFAULT_LEASE
+        self.watch = Watch(silence=of_ms(ctx.startup['silent_ms'])) if 'silent_ms' in ctx.startup else Watch()
         self.moves: asyncio.Future | None = None  # done when parts have moved
         self.duty = duty.Duty(ctx, self.name)
         self.alarm = asyncio.Event()
@@ -246,8 +246,8 @@
         names = {**self.register['old'], **self.register['now']}
         rets = await asyncio.gather(*[self.ask_store(n, a) for n, a in sorted(names.items())])
         rets = {n: r for n, r in zip(sorted(names), rets, strict=False) if r is not None}
-        words = {n: register.read(r['word']) for n, r in rets.items()}
-        self.register, best = register.agreed(self.register, words)
+        words = {n: register.decode_record(r['word']) for n, r in rets.items()}
+        self.register, best = register.read_quorum(self.register, words)
         if best is None:
             self.ctx.journal.count('renew.short')
             return
@@ -259,7 +259,7 @@
         news = {
             'generation': best.generation,
             'epoch': max(self.state.epoch, best.epoch),
-            'live': best.live if self.state.lease is None else self.state.live,
+            'live': best.routing_nodes if self.state.lease is None else self.state.live,
         }
         if best.policy is not None:
             news.update(policy=best.policy, leaving=best.leaving)
@@ -309,10 +309,10 @@
     async def look(self) -> None:
         """Watch the few peers that the core has named."""
         while True:
-            self.watch, asks = watch.due(self.watch, self.ctx.clock.now())
+            self.watch, asks = watch.due_pings(self.watch, self.ctx.clock.now())
             for name, address in asks:
                 self.spawn(self.ping(name, address))
-            await self.ctx.clock.sleep(self.watch.silent / 3)
+            await self.ctx.clock.sleep(self.watch.silence / 3)
 
     async def serve_duty(self) -> None:
         """While there are doubts, stand for the probe duty if it is vacant, and do it if it is ours."""
@@ -337,10 +337,10 @@
 
     async def ping(self, name: str, address: str) -> None:
         try:
-            ret = await self.ctx.net.ask(address, {'k': 'who'}, of_ms(watch.PING_LIMIT_MS))
+            ret = await self.ctx.net.ask(address, {'k': 'who'}, of_ms(watch.PING_TIMEOUT_MS))
         except Fault:
             return
-        self.watch = watch.heard(self.watch, name, ret, self.ctx.clock.now())
+        self.watch = watch.record_ping(self.watch, name, ret, self.ctx.clock.now())
 
     async def look_up(self) -> None:
         """While the list that this node has grows old, ask for it from here: the core may be away, or cut off
@@ -414,7 +414,7 @@
         ret = with_policy(ret)
         self.fleet = ret['fleet']
         self.core = ret['core']
-        self.watch = watch.take(self.watch, ret, self.ctx.clock.now())
+        self.watch = watch.with_peers(self.watch, ret, self.ctx.clock.now())
         self.place_news(ret)
         if ret.get('register', self.register)['number'] > self.register['number']:
             self.register = ret['register']
@@ -465,7 +465,7 @@
             if left <= timedelta(0):
                 raise Fault(code, 'no store is known', wait_ms=1000)
             await self.ctx.clock.sleep(min(STORE_PAUSE, left))
-        return await self.ask_part(part_of(key, len(self.seats)), command, until, code)
+        return await self.ask_part(partition_of(key, len(self.seats)), command, until, code)
 
     async def ask_part(self, part: str, command: dict, until: datetime, code: str = 'store_away') -> dict:
         """A command to whoever serves a part, tried until a time: `await node.ask_part('p00', {...}, until)`."""
@@ -1154,7 +1154,7 @@
 
     def greeted(self, message: dict) -> dict:
         """A member of the fleet says where the core and the stores are; taken while this node has no way
-        to either: `node.greeted({'fleet': 'f', 'core': [], 'register': register.NEVER})`."""
+        to either: `node.greeted({'fleet': 'f', 'core': [], 'register': register.EMPTY_REGISTER})`."""
         if self.fleet in (None, message['fleet']):
             if not admission_state.leased(self.state, self.ctx.clock.now()):
                 self.core, self.core_at = message['core'], None
--- a/src/quillstall/replication/ballot.py
+++ b/src/quillstall/replication/ballot.py
@@ -13,25 +13,25 @@
 from datetime import datetime, timedelta
 from typing import Any, NamedTuple
 
-from quillstall.replication.group import Grant, Halt, Move, Seat
+from quillstall.replication.group import CancelReconfiguration, Grant, ReplicaSet, StartReconfiguration
 from quillstall.runtime.disk import Put
 from quillstall.runtime.effect import Ask, Heard, Note, Return, Told, Write, Wrote
 
 KINDS = ('ballot', 'accept')
-LIMIT = timedelta(milliseconds=2500)
+ROUND_TIMEOUT = timedelta(milliseconds=2500)
 
 
-class Witness(NamedTuple):
+class Acceptor(NamedTuple):
     """What one witness remembers, and the returns that wait for its disk.
 
-    >>> Witness().promised
+    >>> Acceptor().promised
     0
     """
 
     promised: int = 0
-    seat: tuple | None = None
-    crew: tuple | None = None  # the witnesses that go with that seat: (name, address)
-    accepted: int = 0  # the epoch of the round in which it accepted that seat
+    replica_set: tuple | None = None
+    voters: tuple | None = None  # the witnesses that go with that seat: (name, address)
+    accepted_epoch: int = 0  # the epoch of the round in which it accepted that seat
 
 
 class Campaign(NamedTuple):
@@ -43,113 +43,119 @@
 
     stage: str = 'idle'
     epoch: int = 0
-    seen: int = 0
-    yes: tuple = ()
-    best: tuple | None = (
+    highest_epoch: int = 0
+    granted_by: tuple = ()
+    newest_set: tuple | None = (
         None  # the seat that was accepted in the latest round, of those that came with ballots
     )
-    best_crew: tuple | None = None
-    best_epoch: int = 0  # the epoch of that round
-    seat: tuple | None = None
-    crew: tuple | None = None  # the witnesses to be, if this round changes them
+    newest_voters: tuple | None = None
+    newest_round: int = 0  # the epoch of that round
+    replica_set: tuple | None = None
+    voters: tuple | None = None  # the witnesses to be, if this round changes them
     members: tuple | None = None  # who is to sit, the primary first, if the cause asks for them
-    since: datetime | None = None
-    rest: datetime | None = None
-    losses: int = 0
+    stage_started: datetime | None = None
+    failed_at: datetime | None = None
+    failed_rounds: int = 0
 
 
-def load(rows: dict) -> Witness:
+def load(rows: dict) -> Acceptor:
     """What the disk held of a witness.
 
     >>> load({'witness': [4, [4, 3, 'a', 'b'], None]}).promised
     4
     """
-    promised, seat, crew, *accepted = rows.get('witness') or (0, None, None)
-    epoch = accepted[0] if accepted else (seat or (0,))[0]  # older files: each in its own seat's round
-    return Witness(promised, tuple(seat) if seat else None, tuples(crew), epoch)
+    promised, replica_set, voters, *accepted = rows.get('witness') or (0, None, None)
+    accepted_epoch = (
+        accepted[0] if accepted else (replica_set or (0,))[0]
+    )  # older files: each in its own seat's round
+    return Acceptor(
+        promised, tuple(replica_set) if replica_set else None, decode_voters(voters), accepted_epoch
+    )
 
 
-def save(witness: Witness) -> Put:
+def acceptor_row(acceptor: Acceptor) -> Put:
     """The row that keeps a witness: `save(Witness(3))`."""
-    seat = list(witness.seat) if witness.seat else None
-    return Put('', 'witness', [witness.promised, seat, witness.crew, witness.accepted])
+    replica_set = list(acceptor.replica_set) if acceptor.replica_set else None
+    return Put('', 'witness', [acceptor.promised, replica_set, acceptor.voters, acceptor.accepted_epoch])
 
 
-def tuples(crew: Any) -> tuple | None:
+def decode_voters(voters: Any) -> tuple | None:
     """A crew as it came over the wire.
 
-    >>> tuples([['a', '1:1']])
+    >>> decode_voters([['a', '1:1']])
     (('a', '1:1'),)
     """
-    return tuple((n, a) for n, a in crew) if crew else None
+    return tuple((name, address) for name, address in voters) if voters else None
 
 
-def most(names: tuple, crews: tuple) -> bool:
+def is_majority(names: tuple, configurations: tuple) -> bool:
     """Whether these are a majority of each crew: while witnesses change, both the old and the new.
 
     >>> old, new = (('a', ''), ('b', ''), ('c', '')), (('a', ''), ('b', ''), ('d', ''))
-    >>> most(('a', 'b'), (old, new)), most(('a', 'c'), (old, new))
+    >>> is_majority(('a', 'b'), (old, new)), is_majority(('a', 'c'), (old, new))
     (True, False)
     """
-    return all(sum(1 for n, _ in crew if n in names) * 2 > len(crew) for crew in crews)
+    return all(sum(1 for name, _ in voters if name in names) * 2 > len(voters) for voters in configurations)
 
 
-def everyone(crews: tuple) -> tuple:
+def voter_names(configurations: tuple) -> tuple:
     """The names of all crews, each once.
 
-    >>> everyone(((('a', ''), ('b', '')), (('b', ''),)))
+    >>> voter_names(((('a', ''), ('b', '')), (('b', ''),)))
     ('a', 'b')
     """
-    return tuple(dict.fromkeys(n for crew in crews for n, _ in crew))
+    return tuple(dict.fromkeys(name for voters in configurations for name, _ in voters))
 
 
-def cast(witness: Witness, told: Told) -> tuple[Witness, tuple]:
+def vote(acceptor: Acceptor, told: Told) -> tuple[Acceptor, tuple]:
     """A witness's word on one message. A yes goes out only after its Write.
 
-    >>> w, e = cast(Witness(), Told(1, {'k': 'ballot', 'epoch': 2}))
-    >>> w.promised, type(e[0]).__name__
+    >>> acceptor, effects = vote(Acceptor(), Told(1, {'k': 'ballot', 'epoch': 2}))
+    >>> acceptor.promised, type(effects[0]).__name__
     (2, 'Write')
-    >>> w, e = cast(w, Told(2, {'k': 'ballot', 'epoch': 2})); e[0].ret['ok']
+    >>> acceptor, effects = vote(acceptor, Told(2, {'k': 'ballot', 'epoch': 2})); effects[0].ret['ok']
     False
-    >>> w, e = cast(w, Told(3, {'k': 'accept', 'epoch': 1, 'seat': [1, 0, 'a', 'b'], 'crew': None})); e[0].ret['ok']
+    >>> acceptor, effects = vote(acceptor, Told(3, {'k': 'accept', 'epoch': 1, 'seat': [1, 0, 'a', 'b'], 'crew': None})); effects[0].ret['ok']
     False
-    >>> w, e = cast(w, Told(3, {'k': 'accept', 'epoch': 2, 'seat': [2, 0, 'a', 'b'], 'crew': None})); w.seat
+    >>> acceptor, effects = vote(acceptor, Told(3, {'k': 'accept', 'epoch': 2, 'seat': [2, 0, 'a', 'b'], 'crew': None})); acceptor.replica_set
     (2, 0, 'a', 'b')
     """
-    m = told.message
-    epoch = m['epoch']
-    yes = epoch > witness.promised if m['k'] == 'ballot' else epoch >= witness.promised
-    ret = {
-        'ok': yes,
-        'promised': max(witness.promised, epoch) if yes else witness.promised,
-        'seat': list(witness.seat) if witness.seat else None,
-        'crew': witness.crew,
-        'accepted': witness.accepted,
+    message = told.message
+    epoch = message['epoch']
+    granted = epoch > acceptor.promised if message['k'] == 'ballot' else epoch >= acceptor.promised
+    reply = {
+        'ok': granted,
+        'promised': max(acceptor.promised, epoch) if granted else acceptor.promised,
+        'seat': list(acceptor.replica_set) if acceptor.replica_set else None,
+        'crew': acceptor.voters,
+        'accepted': acceptor.accepted_epoch,
     }
-    if not yes:
-        return witness, (Return(told.call, ret),)
-    witness = witness._replace(promised=epoch)
-    if m['k'] == 'accept':
-        witness = witness._replace(seat=tuple(m['seat']), crew=tuples(m['crew']), accepted=epoch)
-    return witness, (Write((save(witness),), ('w', told.call, ret)),)
+    if not granted:
+        return acceptor, (Return(told.call, reply),)
+    acceptor = acceptor._replace(promised=epoch)
+    if message['k'] == 'accept':
+        acceptor = acceptor._replace(
+            replica_set=tuple(message['seat']), voters=decode_voters(message['crew']), accepted_epoch=epoch
+        )
+    return acceptor, (Write((acceptor_row(acceptor),), ('w', told.call, reply)),)
 
 
-def wrote(event: Wrote) -> tuple:
+def reply_after_write(event: Wrote) -> tuple:
     """The yes that waited for the disk.
 
-    >>> wrote(Wrote(('w', 7, {'ok': True})))[0].call
+    >>> reply_after_write(Wrote(('w', 7, {'ok': True})))[0].call
     7
     """
     return (Return(event.tag[1], event.tag[2]),)
 
 
-def begin(
-    run: Campaign,
+def start_round(
+    campaign: Campaign,
     me: str,
-    crews: tuple,
+    configurations: tuple,
     now: datetime,
     cause: str,
-    crew: tuple | None = None,
+    voters: tuple | None = None,
     members: tuple | None = None,
 ) -> tuple[Campaign, tuple]:
     """Ask every witness for its ballot for the next epoch. `crew` and `members` are what the round is to
@@ -157,25 +163,34 @@
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> crew = (('a', ''), ('b', ''), ('c', ''))
-    >>> run, e = begin(Campaign(seen=4), 'a', (crew,), t, 'silent')
-    >>> run.epoch, len([x for x in e if isinstance(x, Ask)])
+    >>> voters = (('a', ''), ('b', ''), ('c', ''))
+    >>> campaign, effects = start_round(Campaign(highest_epoch=4), 'a', (voters,), t, 'silent')
+    >>> campaign.epoch, len([x for x in effects if isinstance(x, Ask)])
     (5, 3)
     """
-    epoch = run.seen + 1
-    run = Campaign('ask', epoch, epoch, crew=crew, members=members, since=now, losses=run.losses)
-    asks = tuple(
-        Ask(w, {'k': 'ballot', 'epoch': epoch, 'by': me}, ('b', epoch, 'ask', w)) for w in everyone(crews)
+    epoch = campaign.highest_epoch + 1
+    campaign = Campaign(
+        'ask',
+        epoch,
+        epoch,
+        voters=voters,
+        members=members,
+        stage_started=now,
+        failed_rounds=campaign.failed_rounds,
+    )
+    requests = tuple(
+        Ask(name, {'k': 'ballot', 'epoch': epoch, 'by': me}, ('b', epoch, 'ask', name))
+        for name in voter_names(configurations)
     )
-    return run, (Note('ballots', {'epoch': epoch, 'cause': cause}),) + asks
+    return campaign, (Note('ballots', {'epoch': epoch, 'cause': cause}),) + requests
 
 
-def heard(
-    run: Campaign,
+def handle_reply(
+    campaign: Campaign,
     event: Heard,
     me: str,
-    crews: tuple,
-    own: Seat | None,
+    configurations: tuple,
+    own_set: ReplicaSet | None,
     choose: Callable[[tuple], tuple | None],
     now: datetime,
 ) -> tuple[Campaign, tuple, tuple]:
@@ -184,103 +199,124 @@
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> own, crews = Seat(1, 0, 'p', 'a'), ((('p', ''), ('a', ''), ('c', '')),)
-    >>> run, _ = begin(Campaign(seen=1), 'a', crews, t, 'silent')
+    >>> own_set, configurations = ReplicaSet(1, 0, 'p', 'a'), ((('p', ''), ('a', ''), ('c', '')),)
+    >>> campaign, _ = start_round(Campaign(highest_epoch=1), 'a', configurations, t, 'silent')
     >>> yes = {'ok': True, 'promised': 2, 'seat': [1, 0, 'p', 'a'], 'crew': None, 'accepted': 1}
-    >>> pick = lambda yes: ('a', 'c')
-    >>> run, e, g = heard(run, Heard(('b', 2, 'ask', 'a'), yes), 'a', crews, own, pick, t)
-    >>> run, e, g = heard(run, Heard(('b', 2, 'ask', 'c'), yes), 'a', crews, own, pick, t)
-    >>> run.stage, g[0].joiner, g[0].seat
+    >>> pick = lambda granted_by: ('a', 'c')
+    >>> campaign, effects, events = handle_reply(campaign, Heard(('b', 2, 'ask', 'a'), yes), 'a', configurations, own_set, pick, t)
+    >>> campaign, effects, events = handle_reply(campaign, Heard(('b', 2, 'ask', 'c'), yes), 'a', configurations, own_set, pick, t)
+    >>> campaign.stage, events[0].joiner, events[0].replica_set
     ('move', 'c', (2, 1, 'a', 'c'))
     """
-    _, epoch, kind, who = event.tag
-    ret = event.ret
-    if ret is None or 'fault' in ret or epoch != run.epoch or run.stage != kind:
-        return run, (), ()
-    run = run._replace(seen=max(run.seen, ret['promised']))
-    if not ret['ok']:  # what this one witness has accepted need not have been granted
-        return lose(run, now), (), ()
-    if ret.get('seat') and ret['accepted'] > run.best_epoch:
-        run = run._replace(best=tuple(ret['seat']), best_crew=tuples(ret['crew']), best_epoch=ret['accepted'])
-    if who not in run.yes:
-        run = run._replace(yes=run.yes + (who,))
-    if not most(run.yes, crews):
-        return run, (), ()
-    if kind == 'ask':
-        if run.best and (own is None or run.best[0] > own.epoch):
-            return *ask_accept(run, run.best, run.best_crew, crews, now), ()
-        if own is None:
-            return lose(run, now), (), ()
-        members = run.members or choose(run.yes)
+    _, epoch, stage, voter = event.tag
+    reply = event.ret
+    if reply is None or 'fault' in reply or epoch != campaign.epoch or campaign.stage != stage:
+        return campaign, (), ()
+    campaign = campaign._replace(highest_epoch=max(campaign.highest_epoch, reply['promised']))
+    if not reply['ok']:  # what this one witness has accepted need not have been granted
+        return fail_round(campaign, now), (), ()
+    if reply.get('seat') and reply['accepted'] > campaign.newest_round:
+        campaign = campaign._replace(
+            newest_set=tuple(reply['seat']),
+            newest_voters=decode_voters(reply['crew']),
+            newest_round=reply['accepted'],
+        )
+    if voter not in campaign.granted_by:
+        campaign = campaign._replace(granted_by=campaign.granted_by + (voter,))
+    if not is_majority(campaign.granted_by, configurations):
+        return campaign, (), ()
+    if stage == 'ask':
+        if campaign.newest_set and (own_set is None or campaign.newest_set[0] > own_set.epoch):
+            return *request_accept(
+                campaign, campaign.newest_set, campaign.newest_voters, configurations, now
+            ), ()
+        if own_set is None:
+            return fail_round(campaign, now), (), ()
+        members = campaign.members or choose(campaign.granted_by)
         if not members:
-            return lose(run, now), (), ()
-        seat = Seat(run.epoch, own.epoch, *members)
-        joiner = next((m for m in members if not own.holds(m)), members[-1])
+            return fail_round(campaign, now), (), ()
+        replica_set = ReplicaSet(campaign.epoch, own_set.epoch, *members)
+        joiner = next((name for name in members if not own_set.includes(name)), members[-1])
         return (
-            run._replace(stage='move', yes=(), seat=tuple(seat), since=now),
+            campaign._replace(stage='move', granted_by=(), replica_set=tuple(replica_set), stage_started=now),
             (),
-            (Move('core', joiner, seat),),
+            (StartReconfiguration('core', joiner, replica_set),),
         )
-    seat = Seat(*run.seat)
+    replica_set = ReplicaSet(*campaign.replica_set)
     return (
-        Campaign('won', run.epoch, run.seen, seat=run.seat, crew=run.crew, since=now),
+        Campaign(
+            'won',
+            campaign.epoch,
+            campaign.highest_epoch,
+            replica_set=campaign.replica_set,
+            voters=campaign.voters,
+            stage_started=now,
+        ),
         (
             Note(
                 'elected',
                 {
-                    'epoch': seat.epoch,
-                    'primary': seat.primary,
-                    'backups': list(seat.backups),
-                    'ballots': list(run.yes),
+                    'epoch': replica_set.epoch,
+                    'primary': replica_set.primary,
+                    'backups': list(replica_set.backups),
+                    'ballots': list(campaign.granted_by),
                 },
             ),
         ),
-        (Grant('core', seat),),
+        (Grant('core', replica_set),),
     )
 
 
-def propose(run: Campaign, seat: tuple, crews: tuple, crew: tuple, now: datetime) -> tuple[Campaign, tuple]:
+def propose(
+    campaign: Campaign, replica_set: tuple, configurations: tuple, voters: tuple, now: datetime
+) -> tuple[Campaign, tuple]:
     """The partner is up: ask the witnesses to accept the seat, and the crew that goes with it.
 
-    >>> crew = (('a', ''), ('b', ''), ('c', ''))
-    >>> run, e = propose(Campaign('move', 2), (2, 1, 'a', 'c'), (crew,), crew, None)
-    >>> run.stage, e[0].message['k']
+    >>> voters = (('a', ''), ('b', ''), ('c', ''))
+    >>> campaign, effects = propose(Campaign('move', 2), (2, 1, 'a', 'c'), (voters,), voters, None)
+    >>> campaign.stage, effects[0].message['k']
     ('accept', 'accept')
     """
-    if run.stage != 'move' or run.epoch != seat[0]:
-        return run, ()
-    return ask_accept(run, seat, crew, crews, now)
+    if campaign.stage != 'move' or campaign.epoch != replica_set[0]:
+        return campaign, ()
+    return request_accept(campaign, replica_set, voters, configurations, now)
 
 
-def ask_accept(
-    run: Campaign, seat: tuple, crew: tuple | None, crews: tuple, now: datetime
+def request_accept(
+    campaign: Campaign, replica_set: tuple, voters: tuple | None, configurations: tuple, now: datetime
 ) -> tuple[Campaign, tuple]:
     """Ask every witness to accept a seat in this round: a new one, or one that an earlier round left open.
 
-    >>> run, e = ask_accept(Campaign('ask', 4), (2, 1, 'a', 'c'), None, ((('a', ''),),), None)
-    >>> e[0].message['epoch'], e[0].message['seat']
+    >>> campaign, effects = request_accept(Campaign('ask', 4), (2, 1, 'a', 'c'), None, ((('a', ''),),), None)
+    >>> effects[0].message['epoch'], effects[0].message['seat']
     (4, [2, 1, 'a', 'c'])
     """
-    run = run._replace(stage='accept', yes=(), seat=seat, crew=crew, since=now)
-    message = {'k': 'accept', 'epoch': run.epoch, 'seat': list(seat), 'crew': crew}
-    return run, tuple(Ask(w, message, ('b', run.epoch, 'accept', w)) for w in everyone(crews))
+    campaign = campaign._replace(
+        stage='accept', granted_by=(), replica_set=replica_set, voters=voters, stage_started=now
+    )
+    message = {'k': 'accept', 'epoch': campaign.epoch, 'seat': list(replica_set), 'crew': voters}
+    return campaign, tuple(
+        Ask(name, message, ('b', campaign.epoch, 'accept', name)) for name in voter_names(configurations)
+    )
 
 
-def lose(run: Campaign, now: datetime) -> Campaign:
+def fail_round(campaign: Campaign, now: datetime) -> Campaign:
     """Rest before the next round; the caller adds a random part.
 
-    >>> lose(Campaign('ask', 3, 5), None).stage
+    >>> fail_round(Campaign('ask', 3, 5), None).stage
     'idle'
     """
-    return Campaign(seen=run.seen, rest=now, losses=run.losses + 1)
+    return Campaign(
+        highest_epoch=campaign.highest_epoch, failed_at=now, failed_rounds=campaign.failed_rounds + 1
+    )
 
 
-def tick(run: Campaign, now: datetime) -> tuple[Campaign, tuple]:
+def tick(campaign: Campaign, now: datetime) -> tuple[Campaign, tuple]:
     """Give up a round that takes too long.
 
     >>> tick(Campaign(), None)[0].stage
     'idle'
     """
-    if run.stage != 'idle' and now - run.since > LIMIT:
-        return lose(run, now), (Halt('core'),)
-    return run, ()
+    if campaign.stage != 'idle' and now - campaign.stage_started > ROUND_TIMEOUT:
+        return fail_round(campaign, now), (CancelReconfiguration('core'),)
+    return campaign, ()
--- a/src/quillstall/replication/group.py
+++ b/src/quillstall/replication/group.py
@@ -42,31 +42,31 @@
 from quillstall.runtime.errors import Fault
 
 KINDS = ('frame', 'hello', 'fill', 'follow', 'pull', 'refill')
-IN_SEAT = ('frame', 'hello', 'pull', 'refill')  # between the members of one seat, under its epoch
-IN_SESSION = ('frame', 'pull', 'refill')  # what only the primary's newest session may say
-FILL_ROWS = 1000
-FILL_BYTES = 512 * 1024
-TAIL = 64
-TRANSFER_LIMIT_MS = 2000
-QUIET_MS = 900
-BEAT = timedelta(milliseconds=300)
-AGAIN = timedelta(milliseconds=200)
+REPLICA_SET_KINDS = ('frame', 'hello', 'pull', 'refill')  # between the members of one seat, under its epoch
+SESSION_KINDS = ('frame', 'pull', 'refill')  # what only the primary's newest session may say
+MAX_MESSAGE_ROWS = 1000
+MAX_MESSAGE_BYTES = 512 * 1024
+MIN_LOG_CHANGES = 64
+TRANSFER_TIMEOUT_MS = 2000
+MAX_UNCONFIRMED_MS = 900
+HEARTBEAT_INTERVAL = timedelta(milliseconds=300)
+RETRY_INTERVAL = timedelta(milliseconds=200)
 
-Apply = Callable[[str, Map, dict, datetime], tuple[tuple, dict]]
+ApplyCommand = Callable[[str, Map, dict, datetime], tuple[tuple, dict]]
 
 
-class Seat(tuple):
+class ReplicaSet(tuple):
     """Who holds a part: an epoch, the epoch that it follows, the primary, and its backups, none to many.
 
-    >>> Seat(2, 1, 'a', 'b').others('a'), Seat(2, 1, 'a', 'b', 'c').backups, Seat(2, 1, 'a').members
+    >>> ReplicaSet(2, 1, 'a', 'b').others('a'), ReplicaSet(2, 1, 'a', 'b', 'c').backups, ReplicaSet(2, 1, 'a').members
     (('b',), ('b', 'c'), ('a',))
-    >>> Seat(2, 1, 'a', 'b') == (2, 1, 'a', 'b')
+    >>> ReplicaSet(2, 1, 'a', 'b') == (2, 1, 'a', 'b')
     True
     """
 
     __slots__ = ()
 
-    def __new__(cls, epoch: int, base: int, primary: str, *backups: str) -> 'Seat':
+    def __new__(cls, epoch: int, base: int, primary: str, *backups: str) -> 'ReplicaSet':
         return tuple.__new__(cls, (epoch, base, primary, *backups))
 
     @property
@@ -91,64 +91,64 @@
 
     def others(self, me: str) -> tuple:
         """The seat's other members: `seat.others('a')`."""
-        return tuple(m for m in self[2:] if m != me)
+        return tuple(name for name in self[2:] if name != me)
 
-    def holds(self, me: str) -> bool:
+    def includes(self, me: str) -> bool:
         """Whether `me` sits here.
 
-        >>> Seat(1, 0, 'a', 'b').holds('c')
+        >>> ReplicaSet(1, 0, 'a', 'b').includes('c')
         False
         """
         return me in self[2:]
 
 
-class Item(NamedTuple):
+class PendingCommand(NamedTuple):
     """A command that waits or flies, and whom to tell.
 
-    >>> Item(('t',), {'op': 'x'}, {}).ret
+    >>> PendingCommand(('t',), {'op': 'x'}, {}).reply
     {}
     """
 
     tag: tuple
     command: dict
-    ret: dict | None = None
+    reply: dict | None = None
 
 
-class Flight(NamedTuple):
+class Batch(NamedTuple):
     """The commands being confirmed now.
 
-    >>> Flight(1, 0, (), ()).own
+    >>> Batch(1, 0, (), ()).synced
     False
     """
 
     number: int
-    first: int
+    base_seq: int
     changes: tuple
-    items: tuple
-    own: bool = False
-    want: tuple = ()  # the backups that have not confirmed yet
-    sent: datetime | None = None
-    out: tuple = ()  # those of them that a message is under way to
-    before: Map | None = None  # the rows without these changes, which are not confirmed yet
+    commands: tuple
+    synced: bool = False
+    awaiting: tuple = ()  # the backups that have not confirmed yet
+    sent_at: datetime | None = None
+    in_flight: tuple = ()  # those of them that a message is under way to
+    rows_before: Map | None = None  # the rows without these changes, which are not confirmed yet
 
 
-class Shift(NamedTuple):
+class Reconfiguration(NamedTuple):
     """A move that this member leads.
 
-    >>> Shift('c', Seat(2, 1, 'a', 'c'), 'fill').stage
+    >>> Reconfiguration('c', ReplicaSet(2, 1, 'a', 'c'), 'fill').stage
     'fill'
     """
 
     joiner: str
-    seat: Seat
+    replica_set: ReplicaSet
     stage: str
     keys: tuple = ()
-    image: Map = Map()
-    at: int = 0
-    upto: int = 0
-    sent: datetime | None = None
-    out: bool = False
-    source: tuple = ()  # the leader, and which of its fills this is
+    snapshot: Map = Map()
+    position: int = 0
+    sent_seq: int = 0
+    sent_at: datetime | None = None
+    request_pending: bool = False
+    fill_id: tuple = ()  # the leader, and which of its fills this is
 
 
 class Transfer(NamedTuple):
@@ -156,15 +156,15 @@
     cannot be brought up from the other's log. The side that takes them lays them over its own only when it
     has all, in one write.
 
-    >>> len(Transfer('b', 7).image)
+    >>> len(Transfer('b', 7).snapshot)
     0
     """
 
     peer: str
     seq: int  # where the order stands with these rows
-    image: Map = Map()  # the rows: of the sender all, of the receiver those that have come
+    snapshot: Map = Map()  # the rows: of the sender all, of the receiver those that have come
     keys: tuple = ()  # as the sender: all keys in order
-    at: int = 0  # how many of them are over there
+    position: int = 0  # how many of them are over there
 
 
 class Copy(NamedTuple):
@@ -174,135 +174,139 @@
     0
     """
 
-    part: str
-    seat: Seat | None = None
+    partition: str
+    replica_set: ReplicaSet | None = None
     seq: int = 0
     sealed: bool = False
     full: bool = False
-    prep: int = 0
+    joining_epoch: int = 0
     rows: Map = Map()
-    tail: tuple = ()
+    log: tuple = ()
     ready: bool = False
     session: int = 0
-    flight: Flight | None = None
-    line: tuple = ()
-    shift: Shift | None = None
-    complete: bool = False  # as joiner: all that was ever returned for before epoch `prep` is here
-    source: tuple = ()  # as joiner: whose fill this is
-    taken: int = 0  # as joiner: how many rows of its image have come
-    heard: datetime | None = None  # when the other members were last heard, the most silent one
-    ears: Map = Map()  # as primary: backup -> when it last confirmed
-    met: Map = Map()  # as primary, before the first flight: backup -> where it stands
-    hello: datetime | None = None
-    settling: int = 0  # as primary: the session whose write of all that this copy holds has been begun
-    settled: int = 0  # as primary: the session in which all that this copy holds is synced here
+    batch: Batch | None = None
+    queue: tuple = ()
+    reconfiguration: Reconfiguration | None = None
+    caught_up: bool = False  # as joiner: all that was ever returned for before epoch `prep` is here
+    fill_id: tuple = ()  # as joiner: whose fill this is
+    rows_received: int = 0  # as joiner: how many rows of its image have come
+    last_confirmed: datetime | None = None  # when the other members were last heard, the most silent one
+    confirmed_at: Map = Map()  # as primary: backup -> when it last confirmed
+    backup_positions: Map = Map()  # as primary, before the first flight: backup -> where it stands
+    hello_sent_at: datetime | None = None
+    syncing_session: int = 0  # as primary: the session whose write of all that this copy holds has been begun
+    synced_session: int = 0  # as primary: the session in which all that this copy holds is synced here
     transfer: Transfer | None = None
 
 
 class State(NamedTuple):
     """All copies of one member.
 
-    >>> len(State('a').parts)
+    >>> len(State('a').partitions)
     0
     """
 
     me: str
-    parts: Map = Map()
+    partitions: Map = Map()
     count: int = 1
-    beats: bool = False
+    heartbeats: bool = False
 
 
 class Op(NamedTuple):
     """Run a command on a part that this member is primary of.
 
-    >>> Op('p00', ('t',), {'op': 'read'}).part
+    >>> Op('p00', ('t',), {'op': 'read'}).partition
     'p00'
     """
 
-    part: str
+    partition: str
     tag: tuple
     command: dict
 
 
-class Move(NamedTuple):
+class StartReconfiguration(NamedTuple):
     """Lead a move: bring `joiner` up and ask for `seat`.
 
-    >>> Move('p00', 'c', Seat(2, 1, 'a', 'c')).joiner
+    >>> StartReconfiguration('p00', 'c', ReplicaSet(2, 1, 'a', 'c')).joiner
     'c'
     """
 
-    part: str
+    partition: str
     joiner: str
-    seat: Seat
+    replica_set: ReplicaSet
 
 
 class Grant(NamedTuple):
     """The authority's word: this is the seat of the part now.
 
-    >>> Grant('p00', Seat(1, 0, 'a', 'b')).seat.epoch
+    >>> Grant('p00', ReplicaSet(1, 0, 'a', 'b')).replica_set.epoch
     1
     """
 
-    part: str
-    seat: Seat
+    partition: str
+    replica_set: ReplicaSet
 
 
-class Halt(NamedTuple):
+class CancelReconfiguration(NamedTuple):
     """Give up a move that this member leads, before its seal.
 
-    >>> Halt('p00').part
+    >>> CancelReconfiguration('p00').partition
     'p00'
     """
 
-    part: str
+    partition: str
 
 
-def load(me: str, rows: dict[str, dict], count: int, beats: bool = False) -> State:
+def load(me: str, rows: dict[str, dict], count: int, heartbeats: bool = False) -> State:
     """The state after a start, from what the disk held. `count` makes this run's sessions its own.
 
     >>> s = load('a', {'p00': {'#mark': [[3, 2, 'a', 'b'], 7, False, True, 0], 'x': 1}}, 5)
-    >>> s.parts['p00'].seat.epoch, s.parts['p00'].rows['x'], s.parts['p00'].ready
+    >>> s.partitions['p00'].replica_set.epoch, s.partitions['p00'].rows['x'], s.partitions['p00'].ready
     (3, 1, False)
     """
-    parts = Map()
-    for part, own in rows.items():
-        mark = own.get('#mark')
-        if mark is None:
+    partitions = Map()
+    for partition, stored in rows.items():
+        marker = stored.get('#mark')
+        if marker is None:
             continue
-        seat, seq, sealed, full, prep, *complete = mark
-        last = tuples(own.get('#last') or ())
-        kept = Map({k: v for k, v in own.items() if not k.startswith('#')})
-        parts = parts.set(
-            part,
+        replica_set, seq, sealed, full, joining_epoch, *caught_up = marker
+        log = decode_changes(stored.get('#last') or ())
+        table = Map({k: v for k, v in stored.items() if not k.startswith('#')})
+        partitions = partitions.set(
+            partition,
             Copy(
-                part,
-                Seat(*seat) if seat else None,
+                partition,
+                ReplicaSet(*replica_set) if replica_set else None,
                 seq,
                 sealed,
                 full,
-                prep,
-                kept,
-                last,
-                complete=bool(complete and complete[0]),
+                joining_epoch,
+                table,
+                log,
+                caught_up=bool(caught_up and caught_up[0]),
             ),
         )
-    return State(me, parts, count, beats)
+    return State(me, partitions, count, heartbeats)
 
 
-def mark(copy: Copy) -> Put:
+def metadata_row(copy: Copy) -> Put:
     """The row that keeps a copy's standing.
 
-    >>> mark(Copy('p00', seq=2)).value
+    >>> metadata_row(Copy('p00', seq=2)).value
     [None, 2, False, False, 0, False]
     """
-    seat = list(copy.seat) if copy.seat else None
-    return Put(copy.part, '#mark', [seat, copy.seq, copy.sealed, copy.full, copy.prep, copy.complete])
+    replica_set = list(copy.replica_set) if copy.replica_set else None
+    return Put(
+        copy.partition,
+        '#mark',
+        [replica_set, copy.seq, copy.sealed, copy.full, copy.joining_epoch, copy.caught_up],
+    )
 
 
-def lay(rows: Map, changes: Any) -> Map:
+def apply_changes(rows: Map, changes: Any) -> Map:
     """Rows with changes laid over them.
 
-    >>> sorted(lay(Map({'a': 1, 'b': 2}), (('a', None), ('c', 3))))
+    >>> sorted(apply_changes(Map({'a': 1, 'b': 2}), (('a', None), ('c', 3))))
     ['b', 'c']
     """
     with rows.mutate() as draft:
@@ -314,856 +318,1006 @@
         return draft.finish()
 
 
-def lay_all(rows: Map, changes: tuple) -> Map:
+def apply_log(rows: Map, changes: tuple) -> Map:
     """Rows with numbered changes laid over them, one after another.
 
-    >>> dict(lay_all(Map({'a': 1}), ((5, (('a', 2),)), (6, (('a', 3),)))))
+    >>> dict(apply_log(Map({'a': 1}), ((5, (('a', 2),)), (6, (('a', 3),)))))
     {'a': 3}
     """
     for _, more in changes:
-        rows = lay(rows, more)
+        rows = apply_changes(rows, more)
     return rows
 
 
-def grown(tail: tuple, new: tuple) -> tuple:
+def extend_log(log: tuple, new: tuple) -> tuple:
     """A log with new changes, cut at its old end, and never inside of what is new: a member that lacks a
     batch lacks all of it.
 
-    >>> len(grown(((1, ()),), tuple((n, ()) for n in range(2, 102)))), len(grown(((1, ()),), ((2, ()),)))
+    >>> len(extend_log(((1, ()),), tuple((n, ()) for n in range(2, 102)))), len(extend_log(((1, ()),), ((2, ()),)))
     (100, 2)
     """
-    return (tail + new)[-max(TAIL, len(new)) :]
+    return (log + new)[-max(MIN_LOG_CHANGES, len(new)) :]
 
 
-def tuples(changes: Any) -> tuple:
+def decode_changes(changes: Any) -> tuple:
     """Numbered changes as they came over the wire or from the disk.
 
-    >>> tuples([[5, [['a', 2]]]])
+    >>> decode_changes([[5, [['a', 2]]]])
     ((5, (('a', 2),)),)
     """
     return tuple((n, tuple(tuple(c) for c in more)) for n, more in changes)
 
 
-def fit(me: str, copy: Copy | None, seat: Seat) -> bool:
+def is_eligible(me: str, copy: Copy | None, replica_set: ReplicaSet) -> bool:
     """Whether this copy may take the seat: it must hold all that was returned for before it.
 
     A member of a granted seat sat in the one before, or was brought up for this one and told that it has all.
     So one that missed a seat, and was not brought up since, sat in that one too; nothing was returned there
     without its word, and it lacks nothing.
 
-    >>> old = Copy('p', Seat(2, 1, 'a', 'b'), full=True)
-    >>> fit('a', old, Seat(3, 2, 'a', 'c')), fit('a', old, Seat(4, 3, 'a', 'c')), fit('a', old, Seat(3, 1, 'a', 'c'))
+    >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), full=True)
+    >>> is_eligible('a', old, ReplicaSet(3, 2, 'a', 'c')), is_eligible('a', old, ReplicaSet(4, 3, 'a', 'c')), is_eligible('a', old, ReplicaSet(3, 1, 'a', 'c'))
     (True, True, False)
-    >>> fit('c', Copy('p', full=True, prep=2, complete=True), Seat(3, 2, 'c', 'a'))
+    >>> is_eligible('c', Copy('p', full=True, joining_epoch=2, caught_up=True), ReplicaSet(3, 2, 'c', 'a'))
     True
-    >>> fit('c', Copy('p', full=True, prep=2), Seat(2, 1, 'a', 'c'))
+    >>> is_eligible('c', Copy('p', full=True, joining_epoch=2), ReplicaSet(2, 1, 'a', 'c'))
     False
-    >>> fit('c', Copy('p', full=True, prep=2, complete=True), Seat(2, 1, 'a', 'c'))
+    >>> is_eligible('c', Copy('p', full=True, joining_epoch=2, caught_up=True), ReplicaSet(2, 1, 'a', 'c'))
     True
-    >>> fit('a', None, Seat(1, 0, 'a', 'b'))
+    >>> is_eligible('a', None, ReplicaSet(1, 0, 'a', 'b'))
     True
     """
-    if not seat.holds(me):
+    if not replica_set.includes(me):
         return False
-    if copy is None or (copy.seat is None and copy.prep == 0):
-        return seat.base == 0
+    if copy is None or (copy.replica_set is None and copy.joining_epoch == 0):
+        return replica_set.base == 0
     if not copy.full:
         return False
-    if copy.prep == seat.epoch:
-        return copy.complete
-    if copy.complete:
-        return copy.prep <= seat.base
-    return copy.prep == 0 and copy.seat is not None and copy.seat.epoch <= seat.base
+    if copy.joining_epoch == replica_set.epoch:
+        return copy.caught_up
+    if copy.caught_up:
+        return copy.joining_epoch <= replica_set.base
+    return (
+        copy.joining_epoch == 0
+        and copy.replica_set is not None
+        and copy.replica_set.epoch <= replica_set.base
+    )
 
 
-def step(state: State, event: Any, now: datetime, apply: Apply) -> tuple[State, tuple]:
+def step(state: State, event: Any, now: datetime, apply: ApplyCommand) -> tuple[State, tuple]:
     """The next state and the effects, for any event of the group.
 
     A lone primary returns nothing before its backup has confirmed:
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> put = lambda part, rows, c, now: (((c['key'], c['value']),), {'ok': True})
-    >>> s, _ = step(State('a'), Grant('p', Seat(1, 0, 'a', 'b')), t, put)
-    >>> s, e = step(s, Op('p', ('t',), {'key': 'x', 'value': 1}), t, put)
-    >>> [type(x).__name__ for x in e], s.parts['p'].ready
+    >>> write = lambda partition, rows, c, now: (((c['key'], c['value']),), {'ok': True})
+    >>> s, _ = step(State('a'), Grant('p', ReplicaSet(1, 0, 'a', 'b')), t, write)
+    >>> s, e = step(s, Op('p', ('t',), {'key': 'x', 'value': 1}), t, write)
+    >>> [type(x).__name__ for x in e], s.partitions['p'].ready
     ([], False)
     """
-    box = Box(state, now, apply)
+    context = StepContext(state, now, apply)
     kind = type(event)
     if kind is Told:
-        tell(box, event)
+        handle_message(context, event)
     elif kind is Heard:
-        heard(box, event)
+        handle_reply(context, event)
     elif kind is Wrote:
-        wrote(box, event)
+        handle_write(context, event)
     elif kind is Op:
-        copy = box.copy(event.part)
-        if copy is None or copy.seat is None or copy.seat.primary != state.me:
-            box.out.append(Done(event.tag, moved(copy)))
+        copy = context.copy(event.partition)
+        if copy is None or copy.replica_set is None or copy.replica_set.primary != state.me:
+            context.effects.append(Done(event.tag, moved_fault(copy)))
         else:
-            box.put(copy._replace(line=copy.line + (Item(event.tag, event.command),)))
-            fly(box, event.part)
+            context.put(copy._replace(queue=copy.queue + (PendingCommand(event.tag, event.command),)))
+            start_batch(context, event.partition)
     elif kind is Grant:
-        grant(box, event.part, event.seat)
-    elif kind is Move:
-        move(box, event)
-    elif kind is Halt:
-        copy = box.copy(event.part)
-        if copy and copy.shift and copy.shift.stage in ('fill', 'follow'):
-            box.put(copy._replace(shift=None))
+        apply_grant(context, event.partition, event.replica_set)
+    elif kind is StartReconfiguration:
+        start_reconfiguration(context, event)
+    elif kind is CancelReconfiguration:
+        copy = context.copy(event.partition)
+        if copy and copy.reconfiguration and copy.reconfiguration.stage in ('fill', 'follow'):
+            context.put(copy._replace(reconfiguration=None))
     elif kind is Tick:
-        for part in sorted(state.parts):
-            tick(box, part)
-    return box.state, tuple(box.out)
+        for partition in sorted(state.partitions):
+            tick_partition(context, partition)
+    return context.state, tuple(context.effects)
 
 
-class Box:
+class StepContext:
     """The state of one step while it is being worked out; never outlives the step."""
 
-    def __init__(self, state: State, now: datetime, apply: Apply):
+    def __init__(self, state: State, now: datetime, apply: ApplyCommand):
         self.state = state
         self.now = now
         self.apply = apply
-        self.out: list = []
+        self.effects: list = []
 
-    def copy(self, part: str) -> Copy | None:
-        return self.state.parts.get(part)
+    def copy(self, partition: str) -> Copy | None:
+        return self.state.partitions.get(partition)
 
     def put(self, copy: Copy) -> Copy:
-        before = self.state.parts.get(copy.part)
-        if before is not None and before.seat is not None and goes_back(before, copy):
-            facts = {'part': copy.part, 'from': [before.seat, before.seq], 'to': [copy.seat, copy.seq]}
-            self.out.append(Violated('copy_forward', facts))
-        self.state = self.state._replace(parts=self.state.parts.set(copy.part, copy))
+        before = self.state.partitions.get(copy.partition)
+        if before is not None and before.replica_set is not None and regresses(before, copy):
+            facts = {
+                'part': copy.partition,
+                'from': [before.replica_set, before.seq],
+                'to': [copy.replica_set, copy.seq],
+            }
+            self.effects.append(Violated('copy_forward', facts))
+        self.state = self.state._replace(partitions=self.state.partitions.set(copy.partition, copy))
         return copy
 
     def save(self, copy: Copy, puts: tuple = (), tag: tuple = ('g', '', 0, 'none', 0)) -> None:
-        self.out.append(Write(puts + (mark(copy),), tag))
+        self.effects.append(Write(puts + (metadata_row(copy),), tag))
 
-    def fresh(self) -> int:
+    def next_number(self) -> int:
         self.state = self.state._replace(count=self.state.count + 1)
         return self.state.count
 
 
-def goes_back(before: Copy, after: Copy) -> bool:
+def regresses(old: Copy, new: Copy) -> bool:
     """Whether a copy loses an epoch, or changes that it had in one, or has two replica sets in one. One that is
     brought up for a later epoch takes rows in place of its own.
 
-    >>> old = Copy('p', Seat(2, 1, 'a', 'b'), seq=7, full=True)
-    >>> goes_back(old, old._replace(seq=8)), goes_back(old, old._replace(seq=6))
+    >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), seq=7, full=True)
+    >>> regresses(old, old._replace(seq=8)), regresses(old, old._replace(seq=6))
     (False, True)
-    >>> goes_back(old, old._replace(seat=Seat(1, 0, 'a', 'b'))), goes_back(old, old._replace(seat=Seat(2, 1, 'a', 'c')))
+    >>> regresses(old, old._replace(replica_set=ReplicaSet(1, 0, 'a', 'b'))), regresses(old, old._replace(replica_set=ReplicaSet(2, 1, 'a', 'c')))
     (True, True)
-    >>> goes_back(old, old._replace(seq=6, prep=4))
+    >>> regresses(old, old._replace(seq=6, joining_epoch=4))
     False
     """
-    if after.seat is not before.seat and after.seat != before.seat:
-        return after.seat is None or after.seat.epoch <= before.seat.epoch
-    return after.prep == 0 and before.full and after.full and after.seq < before.seq
+    if new.replica_set is not old.replica_set and new.replica_set != old.replica_set:
+        return new.replica_set is None or new.replica_set.epoch <= old.replica_set.epoch
+    return new.joining_epoch == 0 and old.full and new.full and new.seq < old.seq
 
 
-def moved(copy: Copy | None) -> dict:
-    seat = list(copy.seat) if copy and copy.seat else None
-    return Fault('moved', 'not the primary', more={'seat': seat}).pack()
+def moved_fault(copy: Copy | None) -> dict:
+    replica_set = list(copy.replica_set) if copy and copy.replica_set else None
+    return Fault('moved', 'not the primary', more={'seat': replica_set}).pack()
 
 
-def free(box: Box, copy: Copy) -> Copy:
+def reject_pending(context: StepContext, copy: Copy) -> Copy:
     """Tell the owners of all commands on hand that this copy will not return for them."""
-    items = (copy.flight.items if copy.flight else ()) + copy.line
-    for item in items:
-        box.out.append(Done(item.tag, moved(copy)))
-    return copy._replace(flight=None, line=(), ready=False)
+    commands = (copy.batch.commands if copy.batch else ()) + copy.queue
+    for item in commands:
+        context.effects.append(Done(item.tag, moved_fault(copy)))
+    return copy._replace(batch=None, queue=(), ready=False)
 
 
-def grant(box: Box, part: str, seat: Seat) -> None:
+def apply_grant(context: StepContext, partition: str, replica_set: ReplicaSet) -> None:
     """Take a seat, or learn that the part sits elsewhere."""
-    me = box.state.me
-    copy = box.copy(part)
-    if copy and copy.seat and copy.seat.epoch >= seat.epoch:
+    me = context.state.me
+    copy = context.copy(partition)
+    if copy and copy.replica_set and copy.replica_set.epoch >= replica_set.epoch:
         return
-    if fit(me, copy, seat):
-        copy = copy or Copy(part)
-        copy = free(box, copy) if seat.primary != me else copy._replace(ready=False)
-        line = copy.line + ()
-        if copy.flight:  # its changes are in our rows: they need a new flight
-            line = tuple(Item(i.tag, {'op': '#again', 'ret': i.ret}) for i in copy.flight.items) + line
+    if is_eligible(me, copy, replica_set):
+        copy = copy or Copy(partition)
+        copy = reject_pending(context, copy) if replica_set.primary != me else copy._replace(ready=False)
+        queue = copy.queue + ()
+        if copy.batch:  # its changes are in our rows: they need a new flight
+            queue = (
+                tuple(PendingCommand(i.tag, {'op': '#again', 'ret': i.reply}) for i in copy.batch.commands)
+                + queue
+            )
         copy = copy._replace(
-            seat=seat,
+            replica_set=replica_set,
             sealed=False,
             full=True,
-            prep=0,
-            complete=False,
-            source=(),
-            shift=None,
-            flight=None,
-            line=line,
-            heard=box.now,
+            joining_epoch=0,
+            caught_up=False,
+            fill_id=(),
+            reconfiguration=None,
+            batch=None,
+            queue=queue,
+            last_confirmed=context.now,
             session=0,
-            hello=None,
-            met=Map(),
+            hello_sent_at=None,
+            backup_positions=Map(),
             transfer=None,
-            ears=Map({b: box.now for b in seat.backups}),
+            confirmed_at=Map({b: context.now for b in replica_set.backups}),
         )
-        box.put(copy)
-        box.save(copy)
-        box.out.append(
+        context.put(copy)
+        context.save(copy)
+        context.effects.append(
             Note(
                 'seat',
-                {'part': part, 'epoch': seat.epoch, 'primary': seat.primary, 'backups': list(seat.backups)},
+                {
+                    'part': partition,
+                    'epoch': replica_set.epoch,
+                    'primary': replica_set.primary,
+                    'backups': list(replica_set.backups),
+                },
             )
         )
-        if seat.primary == me:
-            greet(box, part)
-    elif copy and copy.full and copy.prep == 0 and copy.seat:
-        copy = free(box, copy)
-        copy = copy._replace(seat=seat, full=False, rows=Map(), tail=(), shift=None, sealed=True)
-        box.put(copy)
-        box.out.append(Write((Put(part, None, None), mark(copy)), ('g', part, 0, 'none', 0)))
-        box.out.append(Note('unseated', {'part': part, 'epoch': seat.epoch}))
+        if replica_set.primary == me:
+            send_hello(context, partition)
+    elif copy and copy.full and copy.joining_epoch == 0 and copy.replica_set:
+        copy = reject_pending(context, copy)
+        copy = copy._replace(
+            replica_set=replica_set, full=False, rows=Map(), log=(), reconfiguration=None, sealed=True
+        )
+        context.put(copy)
+        context.effects.append(
+            Write((Put(partition, None, None), metadata_row(copy)), ('g', partition, 0, 'none', 0))
+        )
+        context.effects.append(Note('unseated', {'part': partition, 'epoch': replica_set.epoch}))
 
 
-def greet(box: Box, part: str) -> None:
+def send_hello(context: StepContext, partition: str) -> None:
     """As primary, agree with the backups where the order stands, before any flight. Those that have not
     said it yet are asked again in the same session: one with a slow disk answers late."""
-    copy = box.copy(part)
-    if copy.hello and box.now - copy.hello < AGAIN:
+    copy = context.copy(partition)
+    if copy.hello_sent_at and context.now - copy.hello_sent_at < RETRY_INTERVAL:
         return
     if not copy.session:
-        copy = copy._replace(session=box.fresh(), met=Map())
-    copy = box.put(copy._replace(hello=box.now))
-    for backup in copy.seat.backups:
-        if backup not in copy.met:
-            note = {'k': 'hello', **from_primary(copy), 'seq': copy.seq, 'quiet': quiet(box, copy)}
-            box.out.append(Ask(backup, note, ('g', part, copy.session, 'hello', backup)))
-    agree(box, part)
-
-
-def from_primary(copy: Copy) -> dict:
+        copy = copy._replace(session=context.next_number(), backup_positions=Map())
+    copy = context.put(copy._replace(hello_sent_at=context.now))
+    for backup in copy.replica_set.backups:
+        if backup not in copy.backup_positions:
+            request = {
+                'k': 'hello',
+                **primary_fields(copy),
+                'seq': copy.seq,
+                'quiet': unconfirmed_ms(context, copy),
+            }
+            context.effects.append(Ask(backup, request, ('g', partition, copy.session, 'hello', backup)))
+    synchronize_backups(context, partition)
+
+
+def primary_fields(copy: Copy) -> dict:
     """What each message of a primary to its backups carries: `from_primary(copy)`."""
-    return {'part': copy.part, 'seat': list(copy.seat), 'session': copy.session}
+    return {'part': copy.partition, 'seat': list(copy.replica_set), 'session': copy.session}
 
 
-def new_session(box: Box, part: str) -> None:
+def restart_session(context: StepContext, partition: str) -> None:
     """As primary, begin anew to agree: a backup has started again or lacks something."""
-    copy = box.copy(part)
-    box.put(copy._replace(ready=False, session=0, transfer=None))
-    greet(box, part)
+    copy = context.copy(partition)
+    context.put(copy._replace(ready=False, session=0, transfer=None))
+    send_hello(context, partition)
 
 
-def quiet(box: Box, copy: Copy) -> int:
+def unconfirmed_ms(context: StepContext, copy: Copy) -> int:
     """For how many milliseconds this primary has had no confirmation. A backup that hears a primary
     which does not hear it back must not count it as alive."""
-    return 0 if copy.heard is None else (box.now - copy.heard) // timedelta(milliseconds=1)
+    return (
+        0 if copy.last_confirmed is None else (context.now - copy.last_confirmed) // timedelta(milliseconds=1)
+    )
 
 
-def heed(box: Box, copy: Copy, backup: str) -> Copy:
+def record_confirmation(context: StepContext, copy: Copy, backup: str) -> Copy:
     """A backup has confirmed: the copy with that, and with how silent the most silent one is.
 
-    >>> t = datetime(2026, 1, 1); box = Box(State('a'), t + AGAIN, None)
-    >>> copy = Copy('p', Seat(1, 0, 'a', 'b', 'c'), ears=Map({'b': t, 'c': t}))
-    >>> heed(box, copy, 'b').heard == t, heed(box, heed(box, copy, 'b'), 'c').heard == t + AGAIN
+    >>> t = datetime(2026, 1, 1); context = StepContext(State('a'), t + RETRY_INTERVAL, None)
+    >>> copy = Copy('p', ReplicaSet(1, 0, 'a', 'b', 'c'), confirmed_at=Map({'b': t, 'c': t}))
+    >>> record_confirmation(context, copy, 'b').last_confirmed == t, record_confirmation(context, record_confirmation(context, copy, 'b'), 'c').last_confirmed == t + RETRY_INTERVAL
     (True, True)
-    >>> heed(box, copy._replace(ears=Map()), 'b').heard == t + AGAIN      # just started
+    >>> record_confirmation(context, copy._replace(confirmed_at=Map()), 'b').last_confirmed == t + RETRY_INTERVAL      # just started
     True
     """
-    ears = copy.ears.set(backup, box.now)
-    since = copy.heard or box.now  # of those not heard since this process started
-    return copy._replace(ears=ears, heard=min(ears.get(b, since) for b in copy.seat.backups))
+    confirmed_at = copy.confirmed_at.set(backup, context.now)
+    since = copy.last_confirmed or context.now  # of those not heard since this process started
+    return copy._replace(
+        confirmed_at=confirmed_at,
+        last_confirmed=min(confirmed_at.get(b, since) for b in copy.replica_set.backups),
+    )
 
 
-def fly(box: Box, part: str) -> None:
+def start_batch(context: StepContext, partition: str) -> None:
     """Start the next flight, if the copy may and there is something to fly."""
-    copy = box.copy(part)
-    if not copy.ready or copy.sealed or copy.flight or not copy.line:
+    copy = context.copy(partition)
+    if not copy.ready or copy.sealed or copy.batch or not copy.queue:
         return
-    rows, seq, items, changes = copy.rows, copy.seq, [], []
-    for item in copy.line:
+    rows, seq, commands, changes = copy.rows, copy.seq, [], []
+    for item in copy.queue:
         if item.command.get('op') == '#again':
-            items.append(item._replace(ret=item.command['ret']))
+            commands.append(item._replace(reply=item.command['ret']))
             continue
         try:
-            more, ret = box.apply(part, rows, item.command, box.now)
+            more, reply = context.apply(partition, rows, item.command, context.now)
         except Fault as e:
-            more, ret = (), e.pack()
+            more, reply = (), e.pack()
         except (KeyError, TypeError, ValueError, AttributeError) as e:
-            more, ret = (), Fault('garbled', f'{type(e).__name__}: {e}').pack()
+            more, reply = (), Fault('garbled', f'{type(e).__name__}: {e}').pack()
         if more:
-            rows = lay(rows, more)
+            rows = apply_changes(rows, more)
             seq += 1
             changes.append((seq, tuple(more)))
-        items.append(item._replace(ret=ret))
-    flight = Flight(
-        box.fresh(),
+        commands.append(item._replace(reply=reply))
+    batch = Batch(
+        context.next_number(),
         copy.seq,
         tuple(changes),
-        tuple(items),
-        own=not changes,
-        want=copy.seat.backups,
-        before=copy.rows,
+        tuple(commands),
+        synced=not changes,
+        awaiting=copy.replica_set.backups,
+        rows_before=copy.rows,
     )
-    tail = copy.tail + flight.changes if copy.shift else grown(copy.tail, flight.changes)
-    copy = box.put(copy._replace(rows=rows, seq=seq, line=(), tail=tail, flight=flight))
+    log = copy.log + batch.changes if copy.reconfiguration else extend_log(copy.log, batch.changes)
+    copy = context.put(copy._replace(rows=rows, seq=seq, queue=(), log=log, batch=batch))
     if changes:
-        box.save(copy, spread(part, flight.changes), ('g', part, copy.session, 'own', flight.number))
-    box.out.append(Count('group.flights'))
-    send(box, part)
+        context.save(
+            copy, batch_writes(partition, batch.changes), ('g', partition, copy.session, 'own', batch.number)
+        )
+    context.effects.append(Count('group.flights'))
+    send_batch(context, partition)
 
 
-def spread(part: str, changes: tuple) -> tuple:
+def batch_writes(partition: str, changes: tuple) -> tuple:
     """The rows that a flight's changes write, and the flight itself, kept for the peer's sake."""
-    puts = tuple(Put(part, key, value) for _, more in changes for key, value in more)
-    return puts + (Put(part, '#last', [[n, [list(c) for c in more]] for n, more in changes]),)
+    puts = tuple(Put(partition, key, value) for _, more in changes for key, value in more)
+    return puts + (Put(partition, '#last', [[n, [list(c) for c in more]] for n, more in changes]),)
 
 
-def send(box: Box, part: str) -> None:
+def send_batch(context: StepContext, partition: str) -> None:
     """Send the flight to those backups that have not confirmed it and are not being asked."""
-    copy = box.copy(part)
-    flight = copy.flight
-    to = tuple(b for b in flight.want if b not in flight.out)
-    box.put(copy._replace(flight=flight._replace(sent=box.now, out=flight.out + to)))
+    copy = context.copy(partition)
+    batch = copy.batch
+    to = tuple(b for b in batch.awaiting if b not in batch.in_flight)
+    context.put(copy._replace(batch=batch._replace(sent_at=context.now, in_flight=batch.in_flight + to)))
     for backup in to:
-        box.out.append(
+        context.effects.append(
             Ask(
                 backup,
                 {
                     'k': 'frame',
-                    'part': part,
-                    'seat': list(copy.seat),
+                    'part': partition,
+                    'seat': list(copy.replica_set),
                     'session': copy.session,
-                    'first': flight.first,
-                    'changes': flight.changes,
-                    'quiet': quiet(box, copy),
+                    'first': batch.base_seq,
+                    'changes': batch.changes,
+                    'quiet': unconfirmed_ms(context, copy),
                 },
-                ('g', part, copy.session, 'frame', (flight.number, backup)),
+                ('g', partition, copy.session, 'frame', (batch.number, backup)),
             )
         )
-    if not flight.want:
-        land(box, part)
+    if not batch.awaiting:
+        finish_batch(context, partition)
 
 
-def land(box: Box, part: str) -> None:
+def finish_batch(context: StepContext, partition: str) -> None:
     """A flight that is synced here and confirmed by every backup has its returns sent."""
-    copy = box.copy(part)
-    flight = copy.flight
-    if not flight or not flight.own or flight.want:
+    copy = context.copy(partition)
+    batch = copy.batch
+    if not batch or not batch.synced or batch.awaiting:
         return
-    for item in flight.items:
-        box.out.append(Done(item.tag, item.ret))
-    box.put(copy._replace(flight=None))
-    after(box, part)
-    fly(box, part)
+    for item in batch.commands:
+        context.effects.append(Done(item.tag, item.reply))
+    context.put(copy._replace(batch=None))
+    continue_reconfiguration(context, partition)
+    start_batch(context, partition)
 
 
-def tell(box: Box, event: Told) -> None:
+def handle_message(context: StepContext, event: Told) -> None:
     """A message from another member."""
-    m = event.message
-    part, kind = m['part'], m['k']
-    copy = box.copy(part)
-    if kind in IN_SEAT:
-        seat = Seat(*m['seat'])
-        if copy is None or copy.seat is None or copy.seat.epoch < seat.epoch:
-            grant(box, part, seat)
-            copy = box.copy(part)
-        no = ''
-        if copy is None or copy.seat is None or not copy.full:
-            no = 'absent'
-        elif copy.seat.epoch > seat.epoch:
-            no = 'epoch'
-        elif copy.seat.epoch < seat.epoch or box.state.me not in seat.backups:
-            no = 'absent'
+    message = event.message
+    partition, kind = message['part'], message['k']
+    copy = context.copy(partition)
+    if kind in REPLICA_SET_KINDS:
+        replica_set = ReplicaSet(*message['seat'])
+        if copy is None or copy.replica_set is None or copy.replica_set.epoch < replica_set.epoch:
+            apply_grant(context, partition, replica_set)
+            copy = context.copy(partition)
+        refusal = ''
+        if copy is None or copy.replica_set is None or not copy.full:
+            refusal = 'absent'
+        elif copy.replica_set.epoch > replica_set.epoch:
+            refusal = 'epoch'
+        elif copy.replica_set.epoch < replica_set.epoch or context.state.me not in replica_set.backups:
+            refusal = 'absent'
         elif copy.sealed:
-            no = 'sealed'
-        elif kind in IN_SESSION and copy.session != m['session']:
-            no = 'session'
-        elif kind == 'frame' and copy.seq < m['first']:
-            no = 'gap'
-        if no:
-            seat = list(copy.seat) if copy and copy.seat else None
-            box.out.append(Return(event.call, {'ok': False, 'no': no, 'seat': seat}))
+            refusal = 'sealed'
+        elif kind in SESSION_KINDS and copy.session != message['session']:
+            refusal = 'session'
+        elif kind == 'frame' and copy.seq < message['first']:
+            refusal = 'gap'
+        if refusal:
+            replica_set = list(copy.replica_set) if copy and copy.replica_set else None
+            context.effects.append(Return(event.call, {'ok': False, 'no': refusal, 'seat': replica_set}))
             return
-        if m.get('quiet', 0) < QUIET_MS:
-            copy = copy._replace(heard=box.now)
+        if message.get('quiet', 0) < MAX_UNCONFIRMED_MS:
+            copy = copy._replace(last_confirmed=context.now)
         if kind == 'hello':
-            stand_by(box, copy, event)
+            reply_to_hello(context, copy, event)
             return
         if kind == 'pull':
-            box.put(copy)
-            box.out.append(Return(event.call, transfer_piece(copy, m['after'])))
+            context.put(copy)
+            context.effects.append(Return(event.call, pull_reply(copy, message['after'])))
             return
         if kind == 'refill':
-            take_refill(box, copy, event)
+            receive_refill(context, copy, event)
             return
-        changes = tuples(m['changes'])
+        changes = decode_changes(message['changes'])
         new = tuple(c for c in changes if c[0] > copy.seq)
         if not changes:
-            box.put(copy)
-            box.out.append(Return(event.call, {'ok': True}))
+            context.put(copy)
+            context.effects.append(Return(event.call, {'ok': True}))
             return
-        rows = lay_all(copy.rows, new)
-        tail = grown(copy.tail, new) if not copy.shift else copy.tail + new
-        copy = box.put(copy._replace(rows=rows, seq=max(copy.seq, changes[-1][0]), tail=tail))
-        box.save(copy, spread(part, new) if new else (), ('g', part, 0, 'told', event.call))
-        after(box, part)
+        rows = apply_log(copy.rows, new)
+        log = extend_log(copy.log, new) if not copy.reconfiguration else copy.log + new
+        copy = context.put(copy._replace(rows=rows, seq=max(copy.seq, changes[-1][0]), log=log))
+        context.save(
+            copy, batch_writes(partition, new) if new else (), ('g', partition, 0, 'told', event.call)
+        )
+        continue_reconfiguration(context, partition)
     elif kind == 'fill':
-        fill(box, event, copy)
+        receive_fill(context, event, copy)
     elif kind == 'follow':
-        if completed(copy, m):
-            box.save(copy, (), ('g', part, 0, 'told', event.call))
+        if has_caught_up(copy, message):
+            context.save(copy, (), ('g', partition, 0, 'told', event.call))
             return
-        known = copy is not None and copy.prep == m['epoch'] and copy.source == tuple(m['source'])
-        if not known or not copy.full or copy.seq < m['first']:
-            box.out.append(Return(event.call, {'ok': False, 'no': 'absent'}))
+        known = (
+            copy is not None
+            and copy.joining_epoch == message['epoch']
+            and copy.fill_id == tuple(message['source'])
+        )
+        if not known or not copy.full or copy.seq < message['first']:
+            context.effects.append(Return(event.call, {'ok': False, 'no': 'absent'}))
             return
-        copy = copy._replace(complete=m['complete'])
-        changes = tuples(m['changes'])
+        copy = copy._replace(caught_up=message['complete'])
+        changes = decode_changes(message['changes'])
         new = tuple(c for c in changes if c[0] > copy.seq)
-        rows = lay_all(copy.rows, new)
-        copy = box.put(
-            copy._replace(rows=rows, seq=max([copy.seq] + [n for n, _ in new]), tail=grown(copy.tail, new))
+        rows = apply_log(copy.rows, new)
+        copy = context.put(
+            copy._replace(rows=rows, seq=max([copy.seq] + [n for n, _ in new]), log=extend_log(copy.log, new))
+        )
+        context.save(
+            copy, batch_writes(partition, new) if new else (), ('g', partition, 0, 'told', event.call)
         )
-        box.save(copy, spread(part, new) if new else (), ('g', part, 0, 'told', event.call))
 
 
-def completed(copy: Copy | None, m: dict) -> bool:
+def has_caught_up(copy: Copy | None, message: dict) -> bool:
     """Whether this copy has all that it needs for the epoch of a move: nothing of that move changes it.
 
-    >>> completed(Copy('p', full=True, prep=2, complete=True), {'epoch': 2})
+    >>> has_caught_up(Copy('p', full=True, joining_epoch=2, caught_up=True), {'epoch': 2})
     True
     """
-    return copy is not None and copy.complete and copy.prep == m['epoch']
+    return copy is not None and copy.caught_up and copy.joining_epoch == message['epoch']
 
 
-def fill(box: Box, event: Told, copy: Copy | None) -> None:
+def receive_fill(context: StepContext, event: Told, copy: Copy | None) -> None:
     """As joiner, take one piece of an image. The first piece of a new one empties the copy; a piece that
     has come before changes nothing."""
-    m = event.message
-    part, base, epoch, source = m['part'], m['base'], m['epoch'], tuple(m['source'])
-    known = copy.seat.epoch if copy and copy.seat else 0
-    seated = bool(copy and copy.seat and copy.seat.holds(box.state.me) and copy.full)
-    if known > base or (known == base and seated) or (copy and copy.prep > epoch):
-        seat = list(copy.seat) if copy.seat else None
-        box.out.append(Return(event.call, {'ok': False, 'no': 'epoch', 'seat': seat}))
+    message = event.message
+    partition, base, epoch, fill_id = (
+        message['part'],
+        message['base'],
+        message['epoch'],
+        tuple(message['source']),
+    )
+    known_epoch = copy.replica_set.epoch if copy and copy.replica_set else 0
+    is_member = bool(copy and copy.replica_set and copy.replica_set.includes(context.state.me) and copy.full)
+    if known_epoch > base or (known_epoch == base and is_member) or (copy and copy.joining_epoch > epoch):
+        replica_set = list(copy.replica_set) if copy.replica_set else None
+        context.effects.append(Return(event.call, {'ok': False, 'no': 'epoch', 'seat': replica_set}))
         return
-    current = copy is not None and copy.prep == epoch and copy.source == source
-    if completed(copy, m) or (current and m['at'] + len(m['rows']) <= copy.taken):
-        box.save(copy, (), ('g', part, 0, 'told', event.call))
+    current = copy is not None and copy.joining_epoch == epoch and copy.fill_id == fill_id
+    if has_caught_up(copy, message) or (
+        current and message['at'] + len(message['rows']) <= copy.rows_received
+    ):
+        context.save(copy, (), ('g', partition, 0, 'told', event.call))
         return
-    if m['at'] == 0:
-        copy = free(box, copy) if copy else Copy(part)
+    if message['at'] == 0:
+        copy = reject_pending(context, copy) if copy else Copy(partition)
         copy = copy._replace(
             rows=Map(),
-            tail=(),
+            log=(),
             full=False,
-            prep=epoch,
+            joining_epoch=epoch,
             seq=0,
             sealed=False,
-            shift=None,
-            complete=False,
-            source=source,
-            taken=0,
+            reconfiguration=None,
+            caught_up=False,
+            fill_id=fill_id,
+            rows_received=0,
         )
-        wipe: tuple = (Put(part, None, None),)
-    elif not current or m['at'] != copy.taken:
-        box.out.append(Return(event.call, {'ok': False, 'no': 'absent'}))
+        clear: tuple = (Put(partition, None, None),)
+    elif not current or message['at'] != copy.rows_received:
+        context.effects.append(Return(event.call, {'ok': False, 'no': 'absent'}))
         return
     else:
-        wipe = ()
-    copy = copy._replace(rows=lay(copy.rows, m['rows']), taken=m['at'] + len(m['rows']))
-    if m['last']:
-        copy = copy._replace(full=True, seq=m['seq'])
-    box.put(copy)
-    box.save(copy, wipe + tuple(Put(part, k, v) for k, v in m['rows']), ('g', part, 0, 'told', event.call))
+        clear = ()
+    copy = copy._replace(
+        rows=apply_changes(copy.rows, message['rows']), rows_received=message['at'] + len(message['rows'])
+    )
+    if message['last']:
+        copy = copy._replace(full=True, seq=message['seq'])
+    context.put(copy)
+    context.save(
+        copy,
+        clear + tuple(Put(partition, k, v) for k, v in message['rows']),
+        ('g', partition, 0, 'told', event.call),
+    )
 
 
-def heard(box: Box, event: Heard) -> None:
+def handle_reply(context: StepContext, event: Heard) -> None:
     """A return, or its absence, to something this member asked."""
-    _, part, session, kind, number = event.tag
-    copy = box.copy(part)
-    ret = event.ret
+    _, partition, session, kind, number = event.tag
+    copy = context.copy(partition)
+    reply = event.ret
     if copy is None:
         return
     if kind in ('fill', 'follow'):
-        shifted(box, part, session, ret, number)
+        handle_joiner_reply(context, partition, session, reply, number)
         return
-    if copy.session != session or copy.seat is None or copy.seat.primary != box.state.me:
+    if copy.session != session or copy.replica_set is None or copy.replica_set.primary != context.state.me:
         return
     backup = number[1] if kind == 'frame' else number
     if kind in ('pull', 'refill'):
-        transferred(box, part, kind, backup, ret)
+        handle_transfer_reply(context, partition, kind, backup, reply)
         return
-    flown = kind == 'frame' and copy.flight is not None and copy.flight.number == number[0]
-    if flown:  # whatever it says, nothing is under way to it now
-        left = tuple(b for b in copy.flight.out if b != backup)
-        copy = box.put(copy._replace(flight=copy.flight._replace(out=left)))
-    if ret is None or 'fault' in ret:
+    is_current = kind == 'frame' and copy.batch is not None and copy.batch.number == number[0]
+    if is_current:  # whatever it says, nothing is under way to it now
+        left = tuple(b for b in copy.batch.in_flight if b != backup)
+        copy = context.put(copy._replace(batch=copy.batch._replace(in_flight=left)))
+    if reply is None or 'fault' in reply:
         return
-    if not ret['ok']:
-        if ret['no'] == 'epoch' and ret.get('seat'):
-            grant(box, part, Seat(*ret['seat']))
-        elif ret['no'] in ('session', 'gap'):
-            new_session(box, part)
+    if not reply['ok']:
+        if reply['no'] == 'epoch' and reply.get('seat'):
+            apply_grant(context, partition, ReplicaSet(*reply['seat']))
+        elif reply['no'] in ('session', 'gap'):
+            restart_session(context, partition)
         return
-    copy = box.put(heed(box, copy, backup))
+    copy = context.put(record_confirmation(context, copy, backup))
     if kind == 'hello':
-        box.put(copy._replace(met=copy.met.set(backup, (ret['seq'], tuples(ret['tail'])))))
-        agree(box, part)
-    elif flown:
-        want = tuple(b for b in copy.flight.want if b != backup)
-        box.put(copy._replace(flight=copy.flight._replace(want=want)))
-        land(box, part)
+        context.put(
+            copy._replace(
+                backup_positions=copy.backup_positions.set(
+                    backup, (reply['seq'], decode_changes(reply['tail']))
+                )
+            )
+        )
+        synchronize_backups(context, partition)
+    elif is_current:
+        want = tuple(b for b in copy.batch.awaiting if b != backup)
+        context.put(copy._replace(batch=copy.batch._replace(awaiting=want)))
+        finish_batch(context, partition)
 
 
-def agree(box: Box, part: str) -> None:
+def synchronize_backups(context: StepContext, partition: str) -> None:
     """Every backup has said where it stands, on its disk: take what any of them has more, sync all that is
     held here, send what one has less. What a log no longer holds comes as rows."""
-    copy = box.copy(part)
-    if copy.ready or copy.transfer or any(b not in copy.met for b in copy.seat.backups):
+    copy = context.copy(partition)
+    if copy.ready or copy.transfer or any(b not in copy.backup_positions for b in copy.replica_set.backups):
         return
-    ahead = max(copy.met, key=lambda b: copy.met[b][0], default=None)
-    if ahead is not None and copy.met[ahead][0] > copy.seq:
-        seq, tail = copy.met[ahead]
-        new = tuple(c for c in tail if c[0] > copy.seq)
-        if not joins(copy.seq, new):
-            pull(box, copy, ahead, seq)
+    ahead = max(copy.backup_positions, key=lambda b: copy.backup_positions[b][0], default=None)
+    if ahead is not None and copy.backup_positions[ahead][0] > copy.seq:
+        seq, log = copy.backup_positions[ahead]
+        new = tuple(c for c in log if c[0] > copy.seq)
+        if not is_contiguous(copy.seq, new):
+            start_pull(context, copy, ahead, seq)
             return
-        rows = lay_all(copy.rows, new)
-        copy = copy._replace(rows=rows, seq=seq, tail=grown(copy.tail, new))
-        settle(box, copy, spread(part, new))
+        rows = apply_log(copy.rows, new)
+        copy = copy._replace(rows=rows, seq=seq, log=extend_log(copy.log, new))
+        sync_before_serving(context, copy, batch_writes(partition, new))
         return
-    if copy.settled != copy.session:
-        if copy.settling != copy.session:
-            settle(box, copy)
+    if copy.synced_session != copy.session:
+        if copy.syncing_session != copy.session:
+            sync_before_serving(context, copy)
         return
-    behind = min(copy.met, key=lambda b: copy.met[b][0], default=None)
-    least = copy.met[behind][0] if behind is not None else copy.seq
-    if least < (copy.flight.first if copy.flight else copy.seq):
-        new = tuple(c for c in copy.tail if c[0] > least)
-        if copy.flight or not joins(least, new):
-            refill(box, copy, behind)
+    behind = min(copy.backup_positions, key=lambda b: copy.backup_positions[b][0], default=None)
+    least = copy.backup_positions[behind][0] if behind is not None else copy.seq
+    if least < (copy.batch.base_seq if copy.batch else copy.seq):
+        new = tuple(c for c in copy.log if c[0] > least)
+        if copy.batch or not is_contiguous(least, new):
+            start_refill(context, copy, behind)
             return
-        copy = copy._replace(flight=Flight(box.fresh(), least, new, (), own=True, want=copy.seat.backups))
-    copy = box.put(copy._replace(ready=True))
-    if copy.flight:  # what was under way is of an older session
-        box.put(copy._replace(flight=copy.flight._replace(out=())))
-        send(box, part)
+        copy = copy._replace(
+            batch=Batch(context.next_number(), least, new, (), synced=True, awaiting=copy.replica_set.backups)
+        )
+    copy = context.put(copy._replace(ready=True))
+    if copy.batch:  # what was under way is of an older session
+        context.put(copy._replace(batch=copy.batch._replace(in_flight=())))
+        send_batch(context, partition)
     else:
-        fly(box, part)
+        start_batch(context, partition)
 
 
-def joins(seq: int, changes: tuple) -> bool:
+def is_contiguous(seq: int, changes: tuple) -> bool:
     """Whether these changes go on where a copy stands, with none missing between.
 
-    >>> joins(4, ((5, ()), (6, ()))), joins(4, ((6, ()),)), joins(4, ())
+    >>> is_contiguous(4, ((5, ()), (6, ()))), is_contiguous(4, ((6, ()),)), is_contiguous(4, ())
     (True, False, False)
     """
     return bool(changes) and changes[0][0] == seq + 1
 
 
-def settle(box: Box, copy: Copy, puts: tuple = ()) -> None:
+def sync_before_serving(context: StepContext, copy: Copy, puts: tuple = ()) -> None:
     """Sync what this primary holds before it serves: a flight that changes nothing returns with its backups'
     word alone, and may show what an earlier write, still on its way to the disk here, has changed."""
-    copy = box.put(copy._replace(settling=copy.session))
-    box.save(copy, puts, ('g', copy.part, copy.session, 'met', 0))
+    copy = context.put(copy._replace(syncing_session=copy.session))
+    context.save(copy, puts, ('g', copy.partition, copy.session, 'met', 0))
 
 
-def stand_by(box: Box, copy: Copy, event: Told) -> None:
+def reply_to_hello(context: StepContext, copy: Copy, event: Told) -> None:
     """As backup, tell a primary where this copy stands, once it stands there on disk."""
-    m = event.message
-    copy = box.put(copy._replace(session=m['session'], transfer=None))
-    more = [[n, c] for n, c in copy.tail if n > m['seq']]
-    ret = {'ok': True, 'seq': copy.seq, 'tail': more}
-    box.save(copy, (), ('g', copy.part, 0, 'stands', (event.call, ret)))
+    message = event.message
+    copy = context.put(copy._replace(session=message['session'], transfer=None))
+    more = [[n, c] for n, c in copy.log if n > message['seq']]
+    reply = {'ok': True, 'seq': copy.seq, 'tail': more}
+    context.save(copy, (), ('g', copy.partition, 0, 'stands', (event.call, reply)))
 
 
-def pull(box: Box, copy: Copy, ahead: str, seq: int) -> None:
+def start_pull(context: StepContext, copy: Copy, ahead: str, seq: int) -> None:
     """As primary, ask a backup that is ahead, and has no log of that, for its rows."""
-    box.out.append(Note('pull', {'part': copy.part, 'mine': copy.seq, 'theirs': seq, 'of': ahead}))
-    box.put(copy._replace(transfer=Transfer(ahead, seq)))
-    ask_piece(box, copy.part, '')
+    context.effects.append(
+        Note('pull', {'part': copy.partition, 'mine': copy.seq, 'theirs': seq, 'of': ahead})
+    )
+    context.put(copy._replace(transfer=Transfer(ahead, seq)))
+    request_piece(context, copy.partition, '')
 
 
-def ask_piece(box: Box, part: str, after: str) -> None:
-    copy = box.copy(part)
-    ask = {'k': 'pull', **from_primary(copy), 'after': after}
-    tag = ('g', part, copy.session, 'pull', copy.transfer.peer)
-    box.out.append(Ask(copy.transfer.peer, ask, tag, TRANSFER_LIMIT_MS))
+def request_piece(context: StepContext, partition: str, after_key: str) -> None:
+    copy = context.copy(partition)
+    request = {'k': 'pull', **primary_fields(copy), 'after': after_key}
+    tag = ('g', partition, copy.session, 'pull', copy.transfer.peer)
+    context.effects.append(Ask(copy.transfer.peer, request, tag, TRANSFER_TIMEOUT_MS))
 
 
-def transfer_piece(copy: Copy, after: str) -> dict:
+def pull_reply(copy: Copy, after_key: str) -> dict:
     """The rows that come after a key, as much as a message should have. They stand still meanwhile: this
     copy's primary waits for them.
 
     >>> copy = Copy('p', seq=9, rows=Map({'a': 1, 'b': 2}))
-    >>> transfer_piece(copy, 'a') == {'ok': True, 'seq': 9, 'rows': [['b', 2]], 'last': True}
+    >>> pull_reply(copy, 'a') == {'ok': True, 'seq': 9, 'rows': [['b', 2]], 'last': True}
     True
     """
-    left = Transfer('', copy.seq, copy.rows, tuple(sorted(k for k in copy.rows if k > after)))
-    keys = piece(left)
+    remaining = Transfer('', copy.seq, copy.rows, tuple(sorted(k for k in copy.rows if k > after_key)))
+    keys = next_piece(remaining)
     rows = [[k, copy.rows[k]] for k in keys]
-    return {'ok': True, 'seq': copy.seq, 'rows': rows, 'last': len(keys) == len(left.keys)}
+    return {'ok': True, 'seq': copy.seq, 'rows': rows, 'last': len(keys) == len(remaining.keys)}
 
 
-def refill(box: Box, copy: Copy, behind: str) -> None:
+def start_refill(context: StepContext, copy: Copy, behind: str) -> None:
     """As primary, send all rows to a backup that this copy's log no longer brings up."""
-    box.out.append(Note('refill', {'part': copy.part, 'mine': copy.seq, 'to': behind}))
+    context.effects.append(Note('refill', {'part': copy.partition, 'mine': copy.seq, 'to': behind}))
     keys = tuple(sorted(copy.rows))
-    box.put(copy._replace(transfer=Transfer(behind, copy.seq, copy.rows, keys)))
-    send_piece(box, copy.part)
+    context.put(copy._replace(transfer=Transfer(behind, copy.seq, copy.rows, keys)))
+    send_refill_piece(context, copy.partition)
 
 
-def send_piece(box: Box, part: str) -> None:
-    copy = box.copy(part)
-    sent = copy.transfer
-    keys = piece(sent)
-    ask = {
+def send_refill_piece(context: StepContext, partition: str) -> None:
+    copy = context.copy(partition)
+    transfer = copy.transfer
+    keys = next_piece(transfer)
+    request = {
         'k': 'refill',
-        **from_primary(copy),
-        'at': sent.at,
-        'seq': sent.seq,
-        'rows': [[k, sent.image[k]] for k in keys],
-        'last': sent.at + len(keys) == len(sent.keys),
+        **primary_fields(copy),
+        'at': transfer.position,
+        'seq': transfer.seq,
+        'rows': [[k, transfer.snapshot[k]] for k in keys],
+        'last': transfer.position + len(keys) == len(transfer.keys),
     }
-    box.out.append(Ask(sent.peer, ask, ('g', part, copy.session, 'refill', sent.peer), TRANSFER_LIMIT_MS))
+    context.effects.append(
+        Ask(
+            transfer.peer,
+            request,
+            ('g', partition, copy.session, 'refill', transfer.peer),
+            TRANSFER_TIMEOUT_MS,
+        )
+    )
 
 
-def take_refill(box: Box, copy: Copy, event: Told) -> None:
+def receive_refill(context: StepContext, copy: Copy, event: Told) -> None:
     """As backup, take a piece of the primary's rows; with the last one they replace the own ones."""
-    m = event.message
-    taken = copy.transfer if m['at'] else Transfer(copy.seat.primary, m['seq'])
-    if taken is None or taken.at != m['at'] or copy.seq > m['seq']:
-        box.put(copy._replace(transfer=None))
-        box.out.append(Return(event.call, {'ok': False, 'no': 'gap', 'seat': None}))
+    message = event.message
+    transfer = copy.transfer if message['at'] else Transfer(copy.replica_set.primary, message['seq'])
+    if transfer is None or transfer.position != message['at'] or copy.seq > message['seq']:
+        context.put(copy._replace(transfer=None))
+        context.effects.append(Return(event.call, {'ok': False, 'no': 'gap', 'seat': None}))
         return
-    taken = taken._replace(image=lay(taken.image, m['rows']), at=taken.at + len(m['rows']))
-    if not m['last']:
-        box.put(copy._replace(transfer=taken))
-        box.out.append(Return(event.call, {'ok': True}))
+    transfer = transfer._replace(
+        snapshot=apply_changes(transfer.snapshot, message['rows']),
+        position=transfer.position + len(message['rows']),
+    )
+    if not message['last']:
+        context.put(copy._replace(transfer=transfer))
+        context.effects.append(Return(event.call, {'ok': True}))
         return
-    copy, puts = replaced(copy, taken)
-    box.put(copy)
-    box.save(copy, puts, ('g', copy.part, 0, 'told', event.call))
+    copy, puts = with_rows_replaced(copy, transfer)
+    context.put(copy)
+    context.save(copy, puts, ('g', copy.partition, 0, 'told', event.call))
 
 
-def replaced(copy: Copy, taken: Transfer) -> tuple[Copy, tuple]:
+def with_rows_replaced(copy: Copy, transfer: Transfer) -> tuple[Copy, tuple]:
     """A copy with other rows in place of its own, and the one write that does it on disk."""
-    puts = (Put(copy.part, None, None),) + tuple(Put(copy.part, k, v) for k, v in taken.image.items())
-    return copy._replace(rows=taken.image, seq=taken.seq, tail=(), transfer=None), puts
+    puts = (Put(copy.partition, None, None),) + tuple(
+        Put(copy.partition, k, v) for k, v in transfer.snapshot.items()
+    )
+    return copy._replace(rows=transfer.snapshot, seq=transfer.seq, log=(), transfer=None), puts
 
 
-def transferred(box: Box, part: str, kind: str, backup: str, ret: dict | None) -> None:
+def handle_transfer_reply(
+    context: StepContext, partition: str, kind: str, backup: str, reply: dict | None
+) -> None:
     """As primary, go on with a transfer; begin anew to agree if it broke off."""
-    copy = box.copy(part)
+    copy = context.copy(partition)
     transfer = copy.transfer
     if transfer is None or transfer.peer != backup:
         return
-    if ret is None or not ret.get('ok') or (kind == 'pull' and ret['seq'] != transfer.seq):
-        seat = (ret or {}).get('seat')
-        box.put(copy._replace(session=0, transfer=None, hello=box.now))
-        if seat and seat[0] > copy.seat.epoch:
-            grant(box, part, Seat(*seat))
+    if reply is None or not reply.get('ok') or (kind == 'pull' and reply['seq'] != transfer.seq):
+        replica_set = (reply or {}).get('seat')
+        context.put(copy._replace(session=0, transfer=None, hello_sent_at=context.now))
+        if replica_set and replica_set[0] > copy.replica_set.epoch:
+            apply_grant(context, partition, ReplicaSet(*replica_set))
         return
-    copy = box.put(heed(box, copy, backup))
+    copy = context.put(record_confirmation(context, copy, backup))
     if kind == 'pull':
-        transfer = transfer._replace(image=lay(transfer.image, ret['rows']))
-        box.put(copy._replace(transfer=transfer))
-        if not ret['last']:
-            ask_piece(box, part, ret['rows'][-1][0])
+        transfer = transfer._replace(snapshot=apply_changes(transfer.snapshot, reply['rows']))
+        context.put(copy._replace(transfer=transfer))
+        if not reply['last']:
+            request_piece(context, partition, reply['rows'][-1][0])
             return
-        copy, puts = replaced(copy, transfer)
-        settle(box, copy, puts)
+        copy, puts = with_rows_replaced(copy, transfer)
+        sync_before_serving(context, copy, puts)
         return
-    at = transfer.at + len(piece(transfer))
-    if at < len(transfer.keys):
-        box.put(copy._replace(transfer=transfer._replace(at=at)))
-        send_piece(box, part)
+    position = transfer.position + len(next_piece(transfer))
+    if position < len(transfer.keys):
+        context.put(copy._replace(transfer=transfer._replace(position=position)))
+        send_refill_piece(context, partition)
         return
-    met = copy.met.set(backup, (transfer.seq, ()))
-    box.put(copy._replace(met=met, transfer=None))
-    agree(box, part)
+    positions = copy.backup_positions.set(backup, (transfer.seq, ()))
+    context.put(copy._replace(backup_positions=positions, transfer=None))
+    synchronize_backups(context, partition)
 
 
-def wrote(box: Box, event: Wrote) -> None:
+def handle_write(context: StepContext, event: Wrote) -> None:
     """Something this member wrote is synced."""
-    _, part, session, kind, number = event.tag
-    copy = box.copy(part)
+    _, partition, session, kind, number = event.tag
+    copy = context.copy(partition)
     if kind == 'told':
-        box.out.append(Return(number, {'ok': True}))
-    elif kind == 'own' and copy and copy.flight and copy.flight.number == number:
-        box.put(copy._replace(flight=copy.flight._replace(own=True)))
-        land(box, part)
+        context.effects.append(Return(number, {'ok': True}))
+    elif kind == 'own' and copy and copy.batch and copy.batch.number == number:
+        context.put(copy._replace(batch=copy.batch._replace(synced=True)))
+        finish_batch(context, partition)
     elif kind == 'stands':
-        call, ret = number
-        box.out.append(Return(call, ret))
-    elif kind == 'met' and copy and copy.session == session and copy.seat.primary == box.state.me:
-        box.put(copy._replace(settled=session))
-        agree(box, part)
-    elif kind == 'seal' and copy and copy.shift and copy.shift.stage == 'seal':
-        box.put(copy._replace(shift=copy.shift._replace(stage='last', out=False)))
-        after(box, part)
+        call, reply = number
+        context.effects.append(Return(call, reply))
+    elif kind == 'met' and copy and copy.session == session and copy.replica_set.primary == context.state.me:
+        context.put(copy._replace(synced_session=session))
+        synchronize_backups(context, partition)
+    elif kind == 'seal' and copy and copy.reconfiguration and copy.reconfiguration.stage == 'seal':
+        context.put(
+            copy._replace(reconfiguration=copy.reconfiguration._replace(stage='last', request_pending=False))
+        )
+        continue_reconfiguration(context, partition)
 
 
-def move(box: Box, event: Move) -> None:
+def start_reconfiguration(context: StepContext, event: StartReconfiguration) -> None:
     """Begin to lead a move, unless one for the same seat is under way."""
-    copy = box.copy(event.part)
-    if copy is None or copy.seat is None or not copy.full or copy.seat.epoch != event.seat.base:
+    copy = context.copy(event.partition)
+    if (
+        copy is None
+        or copy.replica_set is None
+        or not copy.full
+        or copy.replica_set.epoch != event.replica_set.base
+    ):
         return
-    if not copy.seat.holds(box.state.me):
+    if not copy.replica_set.includes(context.state.me):
         return
-    if any(not copy.seat.holds(m) for m in event.seat.members if m != event.joiner):
+    if any(not copy.replica_set.includes(name) for name in event.replica_set.members if name != event.joiner):
         return  # nobody would bring that one up
-    if copy.shift and (copy.shift.seat == event.seat or copy.shift.seat.epoch > event.seat.epoch):
+    if copy.reconfiguration and (
+        copy.reconfiguration.replica_set == event.replica_set
+        or copy.reconfiguration.replica_set.epoch > event.replica_set.epoch
+    ):
         return
-    shift = Shift(event.joiner, event.seat, 'fill', tuple(sorted(copy.rows)), copy.rows, 0, copy.seq)
-    shift = shift._replace(source=(box.state.me, box.fresh()))
-    if copy.seat.holds(event.joiner):
-        shift = shift._replace(stage='follow')
-    copy = box.put(copy._replace(shift=shift))
-    box.out.append(Note('move', {'part': event.part, 'joiner': event.joiner, 'epoch': event.seat.epoch}))
-    after(box, event.part)
+    reconfiguration = Reconfiguration(
+        event.joiner, event.replica_set, 'fill', tuple(sorted(copy.rows)), copy.rows, 0, copy.seq
+    )
+    reconfiguration = reconfiguration._replace(fill_id=(context.state.me, context.next_number()))
+    if copy.replica_set.includes(event.joiner):
+        reconfiguration = reconfiguration._replace(stage='follow')
+    copy = context.put(copy._replace(reconfiguration=reconfiguration))
+    context.effects.append(
+        Note('move', {'part': event.partition, 'joiner': event.joiner, 'epoch': event.replica_set.epoch})
+    )
+    continue_reconfiguration(context, event.partition)
 
 
-def after(box: Box, part: str) -> None:
+def continue_reconfiguration(context: StepContext, partition: str) -> None:
     """Take a led move on by one message, if none is out."""
-    copy = box.copy(part)
-    shift = copy.shift
-    if not shift or shift.out:
+    copy = context.copy(partition)
+    reconfiguration = copy.reconfiguration
+    if not reconfiguration or reconfiguration.request_pending:
         return
-    me, held = box.state.me, copy.seat.holds(shift.joiner)
-    note = {'part': part, 'base': copy.seat.epoch, 'epoch': shift.seat.epoch, 'source': shift.source}
-    if shift.stage == 'fill':
-        keys = piece(shift)
-        last = shift.at + len(keys) >= len(shift.keys)
-        ask = {
+    me, is_member = context.state.me, copy.replica_set.includes(reconfiguration.joiner)
+    fields = {
+        'part': partition,
+        'base': copy.replica_set.epoch,
+        'epoch': reconfiguration.replica_set.epoch,
+        'source': reconfiguration.fill_id,
+    }
+    if reconfiguration.stage == 'fill':
+        keys = next_piece(reconfiguration)
+        last = reconfiguration.position + len(keys) >= len(reconfiguration.keys)
+        request = {
             'k': 'fill',
-            **note,
-            'at': shift.at,
+            **fields,
+            'at': reconfiguration.position,
             'last': last,
-            'seq': shift.upto,
-            'rows': [[k, shift.image[k]] for k in keys],
+            'seq': reconfiguration.sent_seq,
+            'rows': [[k, reconfiguration.snapshot[k]] for k in keys],
         }
-        put(box, copy, shift, ask, 'fill', shift.at)
-    elif shift.stage in ('follow', 'last'):
-        new = tuple(c for c in copy.tail if c[0] > shift.upto)
-        if not held and (new or shift.stage == 'last'):
-            batch = new[:FILL_ROWS]
-            complete = shift.stage == 'last' and len(batch) == len(new)
-            ask = {'k': 'follow', **note, 'first': shift.upto, 'changes': batch, 'complete': complete}
-            put(box, copy, shift, ask, 'follow', (batch[-1][0] if batch else shift.upto, complete))
-        elif shift.stage == 'follow':
-            stays = copy.flight and all(b in shift.seat.members for b in copy.flight.want)
-            if stays and copy.seat.primary == me and not stuck(box, copy):
+        send_to_joiner(context, copy, reconfiguration, request, 'fill', reconfiguration.position)
+    elif reconfiguration.stage in ('follow', 'last'):
+        new = tuple(c for c in copy.log if c[0] > reconfiguration.sent_seq)
+        if not is_member and (new or reconfiguration.stage == 'last'):
+            entries = new[:MAX_MESSAGE_ROWS]
+            complete = reconfiguration.stage == 'last' and len(entries) == len(new)
+            request = {
+                'k': 'follow',
+                **fields,
+                'first': reconfiguration.sent_seq,
+                'changes': entries,
+                'complete': complete,
+            }
+            send_to_joiner(
+                context,
+                copy,
+                reconfiguration,
+                request,
+                'follow',
+                (entries[-1][0] if entries else reconfiguration.sent_seq, complete),
+            )
+        elif reconfiguration.stage == 'follow':
+            can_finish = copy.batch and all(
+                b in reconfiguration.replica_set.members for b in copy.batch.awaiting
+            )
+            if can_finish and copy.replica_set.primary == me and not is_batch_stalled(context, copy):
                 return  # let the flight land first
-            copy = box.put(copy._replace(sealed=True, shift=shift._replace(stage='seal', out=True)))
-            box.save(copy, (), ('g', part, 0, 'seal', 0))
+            copy = context.put(
+                copy._replace(
+                    sealed=True, reconfiguration=reconfiguration._replace(stage='seal', request_pending=True)
+                )
+            )
+            context.save(copy, (), ('g', partition, 0, 'seal', 0))
         else:
-            box.put(copy._replace(shift=shift._replace(stage='propose')))
-            box.out.append(Propose(part, tuple(shift.seat)))
+            context.put(copy._replace(reconfiguration=reconfiguration._replace(stage='propose')))
+            context.effects.append(Propose(partition, tuple(reconfiguration.replica_set)))
 
 
-def piece(shift: Shift) -> tuple:
+def next_piece(reconfiguration: Reconfiguration) -> tuple:
     """The keys of the image's next piece: some rows, and no more bytes than a message should have.
 
     >>> keys = tuple(f'k{n}' for n in range(3))
-    >>> piece(Shift('c', None, 'fill', keys, Map({k: 'x' * FILL_BYTES for k in keys}), 1))
+    >>> next_piece(Reconfiguration('c', None, 'fill', keys, Map({k: 'x' * MAX_MESSAGE_BYTES for k in keys}), 1))
     ('k1',)
     """
-    size, out = 0, []
-    for key in shift.keys[shift.at : shift.at + FILL_ROWS]:
-        size += heft(shift.image[key])
-        if out and size > FILL_BYTES:
+    size, keys = 0, []
+    for key in reconfiguration.keys[reconfiguration.position : reconfiguration.position + MAX_MESSAGE_ROWS]:
+        size += encoded_size(reconfiguration.snapshot[key])
+        if keys and size > MAX_MESSAGE_BYTES:
             break
-        out.append(key)
-    return tuple(out)
+        keys.append(key)
+    return tuple(keys)
 
 
-def heft(value: Any) -> int:
+def encoded_size(value: Any) -> int:
     """About how many bytes a row takes on the wire.
 
-    >>> heft('abc'), heft(['ab', 1]), heft({'a': b'12'})
+    >>> encoded_size('abc'), encoded_size(['ab', 1]), encoded_size({'a': b'12'})
     (3, 11, 11)
     """
     if isinstance(value, (str, bytes)):
         return len(value)
     if isinstance(value, (list, tuple)):
-        return sum(heft(v) for v in value)
+        return sum(encoded_size(v) for v in value)
     if isinstance(value, dict):
-        return sum(heft(v) + 9 for v in value.values())
+        return sum(encoded_size(v) + 9 for v in value.values())
     return 9
 
 
-def stuck(box: Box, copy: Copy) -> bool:
+def is_batch_stalled(context: StepContext, copy: Copy) -> bool:
     """Whether the flight cannot land: the backup has been silent since long before."""
-    return copy.heard is None or box.now - copy.heard > timedelta(milliseconds=900)
+    return copy.last_confirmed is None or context.now - copy.last_confirmed > timedelta(milliseconds=900)
 
 
-def put(box: Box, copy: Copy, shift: Shift, ask: dict, kind: str, number: Any) -> None:
-    box.put(copy._replace(shift=shift._replace(out=True, sent=box.now)))
-    box.out.append(Ask(shift.joiner, ask, ('g', copy.part, shift.source, kind, number), 2000))
+def send_to_joiner(
+    context: StepContext, copy: Copy, reconfiguration: Reconfiguration, request: dict, kind: str, number: Any
+) -> None:
+    context.put(
+        copy._replace(reconfiguration=reconfiguration._replace(request_pending=True, sent_at=context.now))
+    )
+    context.effects.append(
+        Ask(
+            reconfiguration.joiner,
+            request,
+            ('g', copy.partition, reconfiguration.fill_id, kind, number),
+            2000,
+        )
+    )
 
 
-def shifted(box: Box, part: str, source: tuple, ret: dict | None, number: Any) -> None:
+def handle_joiner_reply(
+    context: StepContext, partition: str, fill_id: tuple, reply: dict | None, number: Any
+) -> None:
     """The joiner has returned to a piece of the move."""
-    copy = box.copy(part)
-    shift = copy.shift
-    if not shift or not shift.out or shift.source != source:
+    copy = context.copy(partition)
+    reconfiguration = copy.reconfiguration
+    if not reconfiguration or not reconfiguration.request_pending or reconfiguration.fill_id != fill_id:
         return
-    if ret is None or 'fault' in ret:
-        box.put(copy._replace(shift=shift._replace(out=False)))  # the tick sends it again
+    if reply is None or 'fault' in reply:
+        context.put(
+            copy._replace(reconfiguration=reconfiguration._replace(request_pending=False))
+        )  # the tick sends it again
         return
-    if not ret['ok']:
-        box.out.append(Note('move_off', {'part': part, 'joiner': shift.joiner, 'cause': ret['no']}))
-        if shift.stage in ('fill', 'follow'):
-            box.put(copy._replace(shift=None))
+    if not reply['ok']:
+        context.effects.append(
+            Note('move_off', {'part': partition, 'joiner': reconfiguration.joiner, 'cause': reply['no']})
+        )
+        if reconfiguration.stage in ('fill', 'follow'):
+            context.put(copy._replace(reconfiguration=None))
         else:  # sealed: begin again with the same joiner
-            box.put(
+            context.put(
                 copy._replace(
-                    shift=shift._replace(
+                    reconfiguration=reconfiguration._replace(
                         stage='fill',
-                        at=0,
+                        position=0,
                         keys=tuple(sorted(copy.rows)),
-                        image=copy.rows,
-                        upto=copy.seq,
-                        out=False,
-                        source=(box.state.me, box.fresh()),
+                        snapshot=copy.rows,
+                        sent_seq=copy.seq,
+                        request_pending=False,
+                        fill_id=(context.state.me, context.next_number()),
                     )
                 )
             )
-        if ret.get('seat'):
-            grant(box, part, Seat(*ret['seat']))
+        if reply.get('seat'):
+            apply_grant(context, partition, ReplicaSet(*reply['seat']))
         return
-    if shift.stage == 'fill':
-        at = shift.at + len(piece(shift))
-        shift = shift._replace(at=at, stage='fill' if at < len(shift.keys) else 'follow')
+    if reconfiguration.stage == 'fill':
+        position = reconfiguration.position + len(next_piece(reconfiguration))
+        reconfiguration = reconfiguration._replace(
+            position=position, stage='fill' if position < len(reconfiguration.keys) else 'follow'
+        )
     else:
-        upto, complete = number
-        shift = shift._replace(upto=upto, stage='propose' if complete else shift.stage)
-    box.put(copy._replace(shift=shift._replace(out=False)))
-    if shift.stage == 'propose':
-        box.out.append(Propose(part, tuple(shift.seat)))
+        sent_seq, complete = number
+        reconfiguration = reconfiguration._replace(
+            sent_seq=sent_seq, stage='propose' if complete else reconfiguration.stage
+        )
+    context.put(copy._replace(reconfiguration=reconfiguration._replace(request_pending=False)))
+    if reconfiguration.stage == 'propose':
+        context.effects.append(Propose(partition, tuple(reconfiguration.replica_set)))
     else:
-        after(box, part)
+        continue_reconfiguration(context, partition)
 
 
-def tick(box: Box, part: str) -> None:
+def tick_partition(context: StepContext, partition: str) -> None:
     """Send again what got no return; beat when idle."""
-    copy = box.copy(part)
-    if copy.shift and not copy.shift.out:
-        if copy.shift.stage == 'propose':
-            box.out.append(Propose(part, tuple(copy.shift.seat)))
+    copy = context.copy(partition)
+    if copy.reconfiguration and not copy.reconfiguration.request_pending:
+        if copy.reconfiguration.stage == 'propose':
+            context.effects.append(Propose(partition, tuple(copy.reconfiguration.replica_set)))
         else:
-            after(box, part)
-        copy = box.copy(part)
-    if copy.seat is None or copy.seat.primary != box.state.me or not copy.full or copy.sealed:
+            continue_reconfiguration(context, partition)
+        copy = context.copy(partition)
+    if (
+        copy.replica_set is None
+        or copy.replica_set.primary != context.state.me
+        or not copy.full
+        or copy.sealed
+    ):
         return
-    if not copy.seat.backups:  # nobody to listen for
-        copy = box.put(copy._replace(heard=box.now))
+    if not copy.replica_set.backups:  # nobody to listen for
+        copy = context.put(copy._replace(last_confirmed=context.now))
     if not copy.ready:
         if copy.transfer is None:
-            greet(box, part)
-    elif copy.flight:
-        if any(b not in copy.flight.out for b in copy.flight.want) and box.now - copy.flight.sent >= AGAIN:
-            send(box, part)
-    elif box.state.beats and copy.seat.backups and (copy.heard is None or box.now - copy.heard >= BEAT):
-        box.put(copy._replace(line=copy.line + (Item(('beat',), {'op': '#again', 'ret': {}}),)))
-        fly(box, part)
+            send_hello(context, partition)
+    elif copy.batch:
+        if (
+            any(b not in copy.batch.in_flight for b in copy.batch.awaiting)
+            and context.now - copy.batch.sent_at >= RETRY_INTERVAL
+        ):
+            send_batch(context, partition)
+    elif (
+        context.state.heartbeats
+        and copy.replica_set.backups
+        and (copy.last_confirmed is None or context.now - copy.last_confirmed >= HEARTBEAT_INTERVAL)
+    ):
+        context.put(
+            copy._replace(queue=copy.queue + (PendingCommand(('beat',), {'op': '#again', 'ret': {}}),))
+        )
+        start_batch(context, partition)
--- a/src/quillstall/replication/register.py
+++ b/src/quillstall/replication/register.py
@@ -12,16 +12,18 @@
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-LEASE = timedelta(milliseconds=2500)  # unless settings say less; counted from when its holder asked for it
-GRANTED_PART = 1.02  # what its giver reckons with: clocks may drift apart by a hundredth
+DEFAULT_LEASE = timedelta(
+    milliseconds=2500
+)  # unless settings say less; counted from when its holder asked for it
+GRANTED_LEASE_FACTOR = 1.02  # what its giver reckons with: clocks may drift apart by a hundredth
 ANY_NODE = '*'  # stands for whichever routing nodes a store may have renewed before its last start
-NEVER = {'number': 0, 'now': {}, 'old': {}}
+EMPTY_REGISTER = {'number': 0, 'now': {}, 'old': {}}
 
 
-class Word(NamedTuple):
+class QuorumRecord(NamedTuple):
     """What one store knows: a generation, whole, and the register, by its number.
 
-    >>> Word().rank
+    >>> QuorumRecord().version
     (0, 0)
     """
 
@@ -30,90 +32,95 @@
     epoch: int = 0
     policy: dict | None = None
     leaving: tuple = ()
-    now: dict = {}  # the registered stores: name -> address
-    old: dict = {}  # those before, while both count
-    live: int = 1  # how many routing nodes there were
+    members: dict = {}  # the registered stores: name -> address
+    previous_members: dict = {}  # those before, while both count
+    routing_nodes: int = 1  # how many routing nodes there were
 
     @property
-    def rank(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         return self.generation, self.number
 
 
-def read(row: Any) -> Word:
+def decode_record(row: Any) -> QuorumRecord:
     """A word as it came from the disk or the wire.
 
-    >>> read(list(Word(3, 1))) == Word(3, 1), read(None) == Word()
+    >>> decode_record(list(QuorumRecord(3, 1))) == QuorumRecord(3, 1), decode_record(None) == QuorumRecord()
     (True, True)
     """
     if not row:
-        return Word()
-    word = Word(*row)
-    return word._replace(leaving=tuple(word.leaving))
+        return QuorumRecord()
+    record = QuorumRecord(*row)
+    return record._replace(leaving=tuple(record.leaving))
 
 
-def most(names: Iterable[str], now: dict, old: dict) -> bool:
+def is_majority(names: Iterable[str], members: dict, previous: dict) -> bool:
     """Whether these stores are a majority of each register that counts.
 
-    >>> now, old = {'a': '', 'b': '', 'd': ''}, {'a': '', 'b': '', 'c': ''}
-    >>> most(['a', 'b'], now, old), most(['a', 'd'], now, old), most([], {}, {})
+    >>> members, previous = {'a': '', 'b': '', 'd': ''}, {'a': '', 'b': '', 'c': ''}
+    >>> is_majority(['a', 'b'], members, previous), is_majority(['a', 'd'], members, previous), is_majority([], {}, {})
     (True, False, True)
     """
-    have = set(names)
-    return all(len(have & set(each)) * 2 > len(each) for each in (now, old) if each)
+    present = set(names)
+    return all(len(present & set(each)) * 2 > len(each) for each in (members, previous) if each)
 
 
-def covers(names: Iterable[str], now: dict, old: dict) -> bool:
+def intersects_majorities(names: Iterable[str], members: dict, previous: dict) -> bool:
     """Whether every majority of each register that counts has one of these stores in it: what they all
     know is found by whoever asks a majority. With an odd number of stores that is a majority; with an
     even number half is enough, so that of two stores one may be lost.
 
     >>> three, two = {'a': '', 'b': '', 'c': ''}, {'a': '', 'b': ''}
-    >>> covers(['a'], three, {}), covers(['a', 'b'], three, {}), covers(['a'], two, {}), covers([], two, {})
+    >>> intersects_majorities(['a'], three, {}), intersects_majorities(['a', 'b'], three, {}), intersects_majorities(['a'], two, {}), intersects_majorities([], two, {})
     (False, True, True, False)
     """
-    have = set(names)
-    return all(len(set(each) - have) * 2 <= len(each) for each in (now, old) if each)
+    present = set(names)
+    return all(len(set(each) - present) * 2 <= len(each) for each in (members, previous) if each)
 
 
-def taken(word: Word, ret: dict) -> Word:
+def with_update(record: QuorumRecord, update: dict) -> QuorumRecord:
     """The word with the core's news laid over it; never an older one.
 
-    >>> w = taken(Word(2, 1), {'generation': 3, 'epoch': 1, 'policy': {}, 'leaving': []}); w.rank
+    >>> record = with_update(QuorumRecord(2, 1), {'generation': 3, 'epoch': 1, 'policy': {}, 'leaving': []}); record.version
     (3, 1)
-    >>> taken(w, {'generation': 2, 'epoch': 1, 'policy': {'x': 1}, 'leaving': []}) == w
+    >>> with_update(record, {'generation': 2, 'epoch': 1, 'policy': {'x': 1}, 'leaving': []}) == record
     True
     """
-    if ret['epoch'] < word.epoch:
-        return word
-    if 'policy' in ret and ret['generation'] > word.generation:
-        word = word._replace(
-            generation=ret['generation'],
-            policy=ret['policy'],
-            leaving=tuple(ret['leaving']),
-            epoch=ret['epoch'],
+    if update['epoch'] < record.epoch:
+        return record
+    if 'policy' in update and update['generation'] > record.generation:
+        record = record._replace(
+            generation=update['generation'],
+            policy=update['policy'],
+            leaving=tuple(update['leaving']),
+            epoch=update['epoch'],
         )
-    book = ret.get('register')
-    if book and book['number'] > word.number:
-        word = word._replace(number=book['number'], now=book['now'], old=book['old'], epoch=ret['epoch'])
-    return word
+    register = update.get('register')
+    if register and register['number'] > record.number:
+        record = record._replace(
+            number=register['number'],
+            members=register['now'],
+            previous_members=register['old'],
+            epoch=update['epoch'],
+        )
+    return record
 
 
-def agreed(known: dict, words: dict[str, Word]) -> tuple[dict, Word | None]:
+def read_quorum(known: dict, records: dict[str, QuorumRecord]) -> tuple[dict, QuorumRecord | None]:
     """From the words of the stores that answered: the register to go by, and the newest word if a
     majority of that register has answered, else None. `known` is the register the asker had.
 
     >>> known = {'number': 1, 'now': {'a': '', 'b': '', 'c': ''}, 'old': {}}
-    >>> old, new = Word(4, 1, now=known['now']), Word(5, 1, now=known['now'])
-    >>> agreed(known, {'a': old})[1], agreed(known, {'a': old, 'b': new})[1].generation
+    >>> behind, newest = QuorumRecord(4, 1, members=known['now']), QuorumRecord(5, 1, members=known['now'])
+    >>> read_quorum(known, {'a': behind})[1], read_quorum(known, {'a': behind, 'b': newest})[1].generation
     (None, 5)
-    >>> ahead = Word(5, 2, now={'a': '', 'd': '', 'e': ''}, old=known['now'])
-    >>> agreed(known, {'a': ahead, 'b': old})[1] is None
+    >>> ahead = QuorumRecord(5, 2, members={'a': '', 'd': '', 'e': ''}, previous_members=known['now'])
+    >>> read_quorum(known, {'a': ahead, 'b': behind})[1] is None
     True
     """
-    words = {n: w for n, w in words.items() if w.number}
-    for word in words.values():
-        if word.number > known['number']:
-            known = {'number': word.number, 'now': word.now, 'old': word.old}
-    if not known['now'] or not most(words, known['now'], known['old']):
+    records = {name: record for name, record in records.items() if record.number}
+    for record in records.values():
+        if record.number > known['number']:
+            known = {'number': record.number, 'now': record.members, 'old': record.previous_members}
+    if not known['now'] or not is_majority(records, known['now'], known['old']):
         return known, None
-    return known, max(words.values(), key=lambda w: w.rank)
+    return known, max(records.values(), key=lambda record: record.version)
--- a/src/quillstall/replication/rendezvous.py
+++ b/src/quillstall/replication/rendezvous.py
@@ -4,10 +4,10 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-SCORES_KEPT = 4096  # the same few names are ranked over and over
+MAX_CACHED_SCORES = 4096  # the same few names are ranked over and over
 
 
-@lru_cache(maxsize=SCORES_KEPT)
+@lru_cache(maxsize=MAX_CACHED_SCORES)
 def score(key: str, name: str) -> int:
     """How high `name` ranks for `key`.
 
@@ -23,32 +23,32 @@
     >>> rank('k', ['a', 'b', 'c']) == rank('k', ['c', 'a', 'b'])
     True
     """
-    return sorted(names, key=lambda n: (-score(key, n), n))
+    return sorted(names, key=lambda name: (-score(key, name), name))
 
 
-def apart(key: str, zones: dict[str, str], first: Sequence[str] = ()) -> list[str]:
+def rank_across_zones(key: str, zones: dict[str, str], first: Sequence[str] = ()) -> list[str]:
     """Names ranked for a key so that the leading ones stand in different zones where they can.
 
-    >>> z = {'a': 'z1', 'b': 'z1', 'c': 'z2'}
-    >>> p = apart('k', z); z[p[0]] != z[p[1]]
+    >>> zones = {'a': 'z1', 'b': 'z1', 'c': 'z2'}
+    >>> order = rank_across_zones('k', zones); zones[order[0]] != zones[order[1]]
     True
-    >>> apart('k', z, first=['a'])[:2]
+    >>> rank_across_zones('k', zones, first=['a'])[:2]
     ['a', 'c']
     """
-    left = [n for n in rank(key, zones) if n not in first]
-    out = list(first)
-    while left:
-        used = [zones.get(n) for n in out]
-        pick = min(left, key=lambda n: used.count(zones[n]))
-        out.append(pick)
-        left.remove(pick)
-    return out
+    remaining = [name for name in rank(key, zones) if name not in first]
+    ordered = list(first)
+    while remaining:
+        used_zones = [zones.get(name) for name in ordered]
+        best = min(remaining, key=lambda name: used_zones.count(zones[name]))
+        ordered.append(best)
+        remaining.remove(best)
+    return ordered
 
 
-def part_of(key: str, parts: int) -> str:
+def partition_of(key: str, partitions: int) -> str:
     """The partition that a key lives in.
 
-    >>> part_of('program-1', 12) in [f'p{n:02d}' for n in range(12)]
+    >>> partition_of('program-1', 12) in [f'p{n:02d}' for n in range(12)]
     True
     """
-    return f'p{score("part", key) % parts:02d}'
+    return f'p{score("part", key) % partitions:02d}'
--- a/src/quillstall/replication/watch.py
+++ b/src/quillstall/replication/watch.py
@@ -5,8 +5,8 @@
 
 from immutables import Map
 
-PING_LIMIT_MS = 700
-SILENT = timedelta(milliseconds=1500)
+PING_TIMEOUT_MS = 700
+DEFAULT_SILENCE = timedelta(milliseconds=1500)
 
 
 class Watch(NamedTuple):
@@ -17,51 +17,53 @@
     """
 
     peers: dict = {}
-    heard: Map = Map()  # the peers that are pinged; of the others' silence nothing is concluded
-    pinged: datetime | None = None
-    silent: timedelta = SILENT  # it is pinged three times in that
-    patience: timedelta | None = None  # so long silent, a peer is suspected; None: as long as `silent`
+    last_heard: Map = Map()  # the peers that are pinged; of the others' silence nothing is concluded
+    pinged_at: datetime | None = None
+    silence: timedelta = DEFAULT_SILENCE  # it is pinged three times in that
+    suspect_after: timedelta | None = None  # so long silent, a peer is suspected; None: as long as `silent`
 
 
-def take(watch: Watch, news: dict, now: datetime) -> Watch:
+def with_peers(watch: Watch, update: dict, now: datetime) -> Watch:
     """The watch over the peers that the core's news has named; of them only the watched ones are pinged, and
     a new one counts as heard now. A core of an earlier version names no watched ones: then all are.
 
     >>> t = datetime(2026, 1, 1)
-    >>> w = take(Watch(), {'peers': {'a': '1:1', 'b': '1:2'}, 'watched': ['a']}, t); suspects(w, t), suspects(w, t + timedelta(seconds=2))
+    >>> watch = with_peers(Watch(), {'peers': {'a': '1:1', 'b': '1:2'}, 'watched': ['a']}, t); suspects(watch, t), suspects(watch, t + timedelta(seconds=2))
     ([], ['a'])
     """
-    peers = news.get('peers', {})
-    watched = news.get('watched', peers)
-    return watch._replace(peers=peers, heard=Map({n: watch.heard.get(n, now) for n in watched}))
+    peers = update.get('peers', {})
+    watched = update.get('watched', peers)
+    return watch._replace(
+        peers=peers, last_heard=Map({name: watch.last_heard.get(name, now) for name in watched})
+    )
 
 
-def due(watch: Watch, now: datetime) -> tuple[Watch, list[tuple[str, str]]]:
+def due_pings(watch: Watch, now: datetime) -> tuple[Watch, list[tuple[str, str]]]:
     """The peers to ping now, if it is time.
 
     >>> t = datetime(2026, 1, 1)
-    >>> w, asks = due(take(Watch(), {'peers': {'a': '1:1', 'b': '1:2'}, 'watched': ['a']}, t), t); asks, due(w, t)[1]
+    >>> watch, pings = due_pings(with_peers(Watch(), {'peers': {'a': '1:1', 'b': '1:2'}, 'watched': ['a']}, t), t); pings, due_pings(watch, t)[1]
     ([('a', '1:1')], [])
     """
-    if watch.pinged is not None and now - watch.pinged < watch.silent / 3:
+    if watch.pinged_at is not None and now - watch.pinged_at < watch.silence / 3:
         return watch, []
-    return watch._replace(pinged=now), sorted((n, watch.peers[n]) for n in watch.heard)
+    return watch._replace(pinged_at=now), sorted((name, watch.peers[name]) for name in watch.last_heard)
 
 
-def heard(watch: Watch, name: str, ret: dict | None, now: datetime) -> Watch:
+def record_ping(watch: Watch, name: str, reply: dict | None, now: datetime) -> Watch:
     """A ping came back, if it was this peer that answered.
 
     >>> t = datetime(2026, 1, 1)
-    >>> w = take(Watch(), {'peers': {'a': '1:1'}}, t)
-    >>> heard(w, 'a', {'me': 'a'}, t + SILENT).heard['a'] == t, heard(w, 'a', {'me': 'b'}, t + SILENT).heard['a'] == t
+    >>> watch = with_peers(Watch(), {'peers': {'a': '1:1'}}, t)
+    >>> record_ping(watch, 'a', {'me': 'a'}, t + DEFAULT_SILENCE).last_heard['a'] == t, record_ping(watch, 'a', {'me': 'b'}, t + DEFAULT_SILENCE).last_heard['a'] == t
     (False, True)
     """
-    if ret is None or ret.get('me') != name or name not in watch.heard:
+    if reply is None or reply.get('me') != name or name not in watch.last_heard:
         return watch
-    return watch._replace(heard=watch.heard.set(name, now))
+    return watch._replace(last_heard=watch.last_heard.set(name, now))
 
 
 def suspects(watch: Watch, now: datetime) -> list[str]:
     """The peers that have been silent too long: `suspects(watch, now)`."""
-    patience = watch.silent if watch.patience is None else watch.patience
-    return sorted(n for n, at in watch.heard.items() if now - at > patience)
+    limit = watch.silence if watch.suspect_after is None else watch.suspect_after
+    return sorted(name for name, at in watch.last_heard.items() if now - at > limit)
--- a/src/quillstall/testbed/growth.py
+++ b/src/quillstall/testbed/growth.py
@@ -17,7 +17,7 @@
 
 from quillstall.controlplane import core
 from quillstall.replication import group
-from quillstall.replication.group import Grant, Op, Seat, Shift
+from quillstall.replication.group import Grant, Op, Reconfiguration, ReplicaSet
 from quillstall.runtime.disk import FILE, SqliteDisk
 from quillstall.runtime.effect import Done, Write, Wrote
 from quillstall.testbed.deploy import DEPLOYS
@@ -61,7 +61,7 @@
     async def open(self) -> None:
         """Take the folder and the seat: `await replica.open()`."""
         await self.disk.open()
-        await self.feed(Grant(PART, Seat(1, 0, MEMBER)))
+        await self.feed(Grant(PART, ReplicaSet(1, 0, MEMBER)))
 
     async def feed(self, event: Any) -> list:
         """Give the state machine an event and write what it asks for; what it returned for."""
@@ -87,7 +87,7 @@
 
     @property
     def rows(self) -> Map:
-        return self.state.parts[PART].rows
+        return self.state.partitions[PART].rows
 
     def size(self, suffix: str = '') -> float:
         """The KiB of one of its files: `replica.size('-wal')`."""
@@ -101,11 +101,11 @@
     >>> list(pieces(Map({'a': 1})))
     [[['a', 1]]]
     """
-    shift = Shift('b', Seat(2, 1, MEMBER, 'b'), 'fill', tuple(sorted(rows)), rows)
-    while shift.at < len(shift.keys):
-        keys = group.piece(shift)
+    reconfiguration = Reconfiguration('b', ReplicaSet(2, 1, MEMBER, 'b'), 'fill', tuple(sorted(rows)), rows)
+    while reconfiguration.position < len(reconfiguration.keys):
+        keys = group.next_piece(reconfiguration)
         yield [[k, rows[k]] for k in keys]
-        shift = shift._replace(at=shift.at + len(keys))
+        reconfiguration = reconfiguration._replace(position=reconfiguration.position + len(keys))
 
 
 def snapshot(rows: Map) -> tuple[int, float]:
@@ -116,7 +116,7 @@
     """
     start, count, taken = time.perf_counter(), 0, Map()
     for piece in pieces(rows):
-        taken = group.lay(taken, cbor2.loads(cbor2.dumps(piece)))
+        taken = group.apply_changes(taken, cbor2.loads(cbor2.dumps(piece)))
         count += 1
     return count, (time.perf_counter() - start) * 1000
 
--- a/src/quillstall/testbed/model/breaks.py
+++ b/src/quillstall/testbed/model/breaks.py
@@ -9,103 +9,108 @@
 
 from quillstall.controlplane import book, core, core_state, shelf
 from quillstall.replication import ballot, group
-from quillstall.replication.group import Box, Copy, Seat
+from quillstall.replication.group import Copy, ReplicaSet, StepContext
 from quillstall.runtime.effect import Done, Propose, Return, Told, Write, Wrote
 
 
 @contextmanager
 def return_before_backups() -> Iterator[None]:
     """A primary answers when its own disk has the changes, whatever its backups say."""
-    real = group.send
+    real = group.send_batch
 
-    def send(box: Box, part: str) -> None:
-        real(box, part)
-        flight = box.copy(part).flight
-        if flight:
-            box.put(box.copy(part)._replace(flight=flight._replace(want=())))
-            group.land(box, part)
+    def send(context: StepContext, part: str) -> None:
+        real(context, part)
+        batch = context.copy(part).batch
+        if batch:
+            context.put(context.copy(part)._replace(batch=batch._replace(awaiting=())))
+            group.finish_batch(context, part)
 
-    with patch.object(group, 'send', send):
+    with patch.object(group, 'send_batch', send):
         yield
 
 
 @contextmanager
 def return_before_own_disk() -> Iterator[None]:
     """A primary answers when its backups have the changes, whatever its own disk says."""
-    real = group.Flight
+    real = group.Batch
 
     def flight(*values: Any, **named: Any) -> Any:
-        return real(*values, **{**named, 'own': True})
+        return real(*values, **{**named, 'synced': True})
 
-    with patch.object(group, 'Flight', flight):
+    with patch.object(group, 'Batch', flight):
         yield
 
 
 @contextmanager
 def accept_old_session() -> Iterator[None]:
     """A backup takes the frames of an earlier session."""
-    real = group.tell
+    real = group.handle_message
 
-    def tell(box: Box, event: Told) -> None:
-        copy, message = box.copy(event.message['part']), event.message
+    def tell(context: StepContext, event: Told) -> None:
+        copy, message = context.copy(event.message['part']), event.message
         if message['k'] == 'frame' and copy:
             first = min(message['first'], copy.seq)
             event = event._replace(message={**message, 'session': copy.session, 'first': first})
-        real(box, event)
+        real(context, event)
 
-    with patch.object(group, 'tell', tell):
+    with patch.object(group, 'handle_message', tell):
         yield
 
 
 @contextmanager
 def accept_old_epoch() -> Iterator[None]:
     """A member confirms what comes under an epoch that it knows to be over."""
-    real = group.tell
-
-    def tell(box: Box, event: Told) -> None:
-        message, copy = event.message, box.copy(event.message['part'])
-        if message['k'] in ('frame', 'hello') and copy and copy.seat and copy.seat.epoch > message['seat'][0]:
-            box.out.append(Return(event.call, {'ok': True, 'seq': message.get('seq', 0), 'tail': []}))
+    real = group.handle_message
+
+    def tell(context: StepContext, event: Told) -> None:
+        message, copy = event.message, context.copy(event.message['part'])
+        if (
+            message['k'] in ('frame', 'hello')
+            and copy
+            and copy.replica_set
+            and copy.replica_set.epoch > message['seat'][0]
+        ):
+            context.effects.append(Return(event.call, {'ok': True, 'seq': message.get('seq', 0), 'tail': []}))
             return
-        real(box, event)
+        real(context, event)
 
-    with patch.object(group, 'tell', tell):
+    with patch.object(group, 'handle_message', tell):
         yield
 
 
 @contextmanager
 def skip_seal() -> Iterator[None]:
     """The leader of a move goes on confirming the epoch that the move ends."""
-    real = group.after
+    real = group.continue_reconfiguration
 
-    def after(box: Box, part: str) -> None:
-        real(box, part)
-        copy = box.copy(part)
-        if copy.sealed and copy.shift:
-            box.put(copy._replace(sealed=False))
+    def after(context: StepContext, part: str) -> None:
+        real(context, part)
+        copy = context.copy(part)
+        if copy.sealed and copy.reconfiguration:
+            context.put(copy._replace(sealed=False))
 
-    with patch.object(group, 'after', after):
+    with patch.object(group, 'continue_reconfiguration', after):
         yield
 
 
 @contextmanager
 def forget_seal() -> Iterator[None]:
     """The seal is not kept on the disk."""
-    real = group.mark
+    real = group.metadata_row
 
-    with patch.object(group, 'mark', lambda copy: real(copy._replace(sealed=False))):
+    with patch.object(group, 'metadata_row', lambda copy: real(copy._replace(sealed=False))):
         yield
 
 
 @contextmanager
 def forget_seat() -> Iterator[None]:
     """The disk keeps the rows and not the newest replica set."""
-    real = group.mark
+    real = group.metadata_row
 
     def mark(copy: Copy) -> Any:
-        return real(copy._replace(seat=Seat(1, 0, 'a', 'b')) if copy.seat else copy)
+        return real(copy._replace(replica_set=ReplicaSet(1, 0, 'a', 'b')) if copy.replica_set else copy)
 
-    with patch.object(group, 'mark', mark):
+    with patch.object(group, 'metadata_row', mark):
         yield
 
 
@@ -113,137 +118,145 @@
 def propose_early() -> Iterator[None]:
     """The leader of a move asks for the new replica set before the joiner has the last changes, and the joiner
     does not see that some are missing."""
-    real, real_tell = group.after, group.tell
-
-    def after(box: Box, part: str) -> None:
-        copy = box.copy(part)
-        if copy.shift and copy.shift.stage in ('follow', 'last') and not copy.shift.out:
-            box.put(copy._replace(shift=copy.shift._replace(upto=copy.seq)))
-        real(box, part)
-
-    def tell(box: Box, event: Told) -> None:
+    real, real_tell = group.continue_reconfiguration, group.handle_message
+
+    def after(context: StepContext, part: str) -> None:
+        copy = context.copy(part)
+        if (
+            copy.reconfiguration
+            and copy.reconfiguration.stage in ('follow', 'last')
+            and not copy.reconfiguration.request_pending
+        ):
+            context.put(copy._replace(reconfiguration=copy.reconfiguration._replace(sent_seq=copy.seq)))
+        real(context, part)
+
+    def tell(context: StepContext, event: Told) -> None:
         if event.message['k'] == 'follow':
             event = event._replace(message={**event.message, 'first': 0})
-        real_tell(box, event)
+        real_tell(context, event)
 
-    with patch.object(group, 'after', after), patch.object(group, 'tell', tell):
+    with patch.object(group, 'continue_reconfiguration', after), patch.object(group, 'handle_message', tell):
         yield
 
 
 @contextmanager
 def skip_fill() -> Iterator[None]:
     """The leader of a move asks for the new replica set without bringing the joiner up."""
-    real = group.after
+    real = group.continue_reconfiguration
 
-    def after(box: Box, part: str) -> None:
-        copy = box.copy(part)
-        if copy.shift and copy.shift.stage == 'fill':
-            box.put(copy._replace(shift=copy.shift._replace(stage='propose')))
-            box.out.append(Propose(part, tuple(copy.shift.seat)))
+    def after(context: StepContext, part: str) -> None:
+        copy = context.copy(part)
+        if copy.reconfiguration and copy.reconfiguration.stage == 'fill':
+            context.put(copy._replace(reconfiguration=copy.reconfiguration._replace(stage='propose')))
+            context.effects.append(Propose(part, tuple(copy.reconfiguration.replica_set)))
             return
-        real(box, part)
+        real(context, part)
 
-    with patch.object(group, 'after', after):
+    with patch.object(group, 'continue_reconfiguration', after):
         yield
 
 
 @contextmanager
 def always_fit() -> Iterator[None]:
     """A member takes a place in a replica set whatever its copy holds, and is not brought up before."""
-    with skip_fill(), patch.object(group, 'fit', lambda me, copy, seat: seat.holds(me)):
+    with skip_fill(), patch.object(group, 'is_eligible', lambda me, copy, seat: seat.includes(me)):
         yield
 
 
 @contextmanager
 def joiner_keeps_rows() -> Iterator[None]:
     """A joiner that has rows of an earlier time keeps them in place of the image."""
-    real = group.fill
+    real = group.receive_fill
 
-    def fill(box: Box, event: Told, copy: Copy | None) -> None:
-        real(box, event, copy)
-        now = box.copy(event.message['part'])
+    def fill(context: StepContext, event: Told, copy: Copy | None) -> None:
+        real(context, event, copy)
+        now = context.copy(event.message['part'])
         if copy and copy.rows and now.full:
-            box.put(now._replace(rows=copy.rows))
-            puts = tuple(group.Put(copy.part, key, value) for key, value in copy.rows.items())
-            box.out[-1] = box.out[-1]._replace(puts=box.out[-1].puts + puts)
+            context.put(now._replace(rows=copy.rows))
+            puts = tuple(group.Put(copy.partition, key, value) for key, value in copy.rows.items())
+            context.effects[-1] = context.effects[-1]._replace(puts=context.effects[-1].puts + puts)
 
-    with patch.object(group, 'fill', fill):
+    with patch.object(group, 'receive_fill', fill):
         yield
 
 
 @contextmanager
 def joiner_drops_changes() -> Iterator[None]:
     """A joiner confirms the changes since its image without taking them."""
-    real = group.tell
+    real = group.handle_message
 
-    def tell(box: Box, event: Told) -> None:
+    def tell(context: StepContext, event: Told) -> None:
         if event.message['k'] == 'follow':
             event = event._replace(message={**event.message, 'changes': (), 'first': 0})
-        real(box, event)
+        real(context, event)
 
-    with patch.object(group, 'tell', tell):
+    with patch.object(group, 'handle_message', tell):
         yield
 
 
 @contextmanager
 def confirm_before_sync() -> Iterator[None]:
     """A backup confirms before its disk has the changes."""
-    real = group.tell
+    real = group.handle_message
 
-    def tell(box: Box, event: Told) -> None:
-        real(box, event)
-        if event.message['k'] == 'frame' and any(type(e) is Write and e.tag[3] == 'told' for e in box.out):
-            box.out.append(Return(event.call, {'ok': True}))
+    def tell(context: StepContext, event: Told) -> None:
+        real(context, event)
+        if event.message['k'] == 'frame' and any(
+            type(e) is Write and e.tag[3] == 'told' for e in context.effects
+        ):
+            context.effects.append(Return(event.call, {'ok': True}))
 
-    with patch.object(group, 'tell', tell):
+    with patch.object(group, 'handle_message', tell):
         yield
 
 
 @contextmanager
 def read_without_backups() -> Iterator[None]:
     """A primary answers reads without asking its backups whether it still leads."""
-    real = group.send
+    real = group.send_batch
 
-    def send(box: Box, part: str) -> None:
-        copy = box.copy(part)
-        if copy.flight.changes:
-            real(box, part)
+    def send(context: StepContext, part: str) -> None:
+        copy = context.copy(part)
+        if copy.batch.changes:
+            real(context, part)
             return
-        box.put(copy._replace(flight=copy.flight._replace(want=())))
-        group.land(box, part)
+        context.put(copy._replace(batch=copy.batch._replace(awaiting=())))
+        group.finish_batch(context, part)
 
-    with patch.object(group, 'send', send):
+    with patch.object(group, 'send_batch', send):
         yield
 
 
 @contextmanager
 def return_on_grant() -> Iterator[None]:
     """A primary that is given a new replica set answers what was still being confirmed."""
-    real = group.grant
+    real = group.apply_grant
 
-    def grant(box: Box, part: str, seat: Seat) -> None:
-        copy = box.copy(part)
-        if copy and copy.flight and copy.seat.epoch < seat.epoch:
-            box.out.extend(Done(item.tag, item.ret) for item in copy.flight.items)
-            box.put(copy._replace(flight=None))
-        real(box, part, seat)
+    def grant(context: StepContext, part: str, seat: ReplicaSet) -> None:
+        copy = context.copy(part)
+        if copy and copy.batch and copy.replica_set.epoch < seat.epoch:
+            context.effects.extend(Done(item.tag, item.reply) for item in copy.batch.commands)
+            context.put(copy._replace(batch=None))
+        real(context, part, seat)
 
-    with patch.object(group, 'grant', grant):
+    with patch.object(group, 'apply_grant', grant):
         yield
 
 
 @contextmanager
 def ignore_longer_tail() -> Iterator[None]:
     """A primary that has restarted does not take what a backup has beyond its own disk."""
-    real = group.agree
+    real = group.synchronize_backups
 
-    def agree(box: Box, part: str) -> None:
-        copy = box.copy(part)
-        met = Map({name: (min(seq, copy.seq), ()) for name, (seq, _) in copy.met.items()})
-        box.put(copy._replace(met=met))
-        real(box, part)
+    def agree(context: StepContext, part: str) -> None:
+        copy = context.copy(part)
+        backup_positions = Map(
+            {name: (min(seq, copy.seq), ()) for name, (seq, _) in copy.backup_positions.items()}
+        )
+        context.put(copy._replace(backup_positions=backup_positions))
+        real(context, part)
 
-    with patch.object(group, 'agree', agree):
+    with patch.object(group, 'synchronize_backups', agree):
         yield
 
 
@@ -294,84 +307,84 @@
 @contextmanager
 def promise_before_sync() -> Iterator[None]:
     """A voter answers before its disk has its promise."""
-    real = ballot.cast
+    real = ballot.vote
 
     def cast(voter: Any, told: Told) -> tuple:
         voter, effects = real(voter, told)
         if type(effects[0]) is Write:
-            effects += ballot.wrote(Wrote(effects[0].tag))
+            effects += ballot.reply_after_write(Wrote(effects[0].tag))
         return voter, effects
 
-    with patch.object(ballot, 'cast', cast):
+    with patch.object(ballot, 'vote', cast):
         yield
 
 
 @contextmanager
 def forget_promise() -> Iterator[None]:
     """A voter's disk keeps what it accepted and not what it promised."""
-    real = ballot.save
+    real = ballot.acceptor_row
 
     def save(voter: Any) -> Any:
-        return real(voter._replace(promised=voter.seat[0] if voter.seat else 0))
+        return real(voter._replace(promised=voter.replica_set[0] if voter.replica_set else 0))
 
-    with patch.object(ballot, 'save', save):
+    with patch.object(ballot, 'acceptor_row', save):
         yield
 
 
 @contextmanager
 def accept_lower() -> Iterator[None]:
     """A voter accepts a replica set of a lower epoch than it has promised."""
-    real = ballot.cast
+    real = ballot.vote
 
     def cast(voter: Any, told: Told) -> tuple:
         if told.message['k'] == 'accept':
             voter = voter._replace(promised=0)
         return real(voter, told)
 
-    with patch.object(ballot, 'cast', cast):
+    with patch.object(ballot, 'vote', cast):
         yield
 
 
 @contextmanager
 def vote_twice() -> Iterator[None]:
     """A voter gives its ballot of one epoch to every candidate."""
-    real = ballot.cast
+    real = ballot.vote
 
     def cast(voter: Any, told: Told) -> tuple:
         if told.message['k'] == 'ballot' and told.message['epoch'] == voter.promised:
             voter = voter._replace(promised=voter.promised - 1)
         return real(voter, told)
 
-    with patch.object(ballot, 'cast', cast):
+    with patch.object(ballot, 'vote', cast):
         yield
 
 
 @contextmanager
 def ignore_newest() -> Iterator[None]:
     """A candidate goes on from its own replica set, whatever newer one the voters know."""
-    real = ballot.heard
+    real = ballot.handle_reply
 
     def heard(run: Any, event: Any, *more: Any) -> tuple:
         if event.ret and event.ret.get('seat'):
             event = event._replace(ret={**event.ret, 'seat': None})
         return real(run, event, *more)
 
-    with patch.object(ballot, 'heard', heard):
+    with patch.object(ballot, 'handle_reply', heard):
         yield
 
 
 @contextmanager
 def grant_what_one_accepted() -> Iterator[None]:
     """A candidate takes a replica set that one voter has accepted for one that was granted."""
-    real = ballot.heard
+    real = ballot.handle_reply
 
     def heard(run: Any, event: Any, me: str, crews: tuple, own: Any, *more: Any) -> tuple:
         ret = event.ret or {}
         if ret.get('seat') and event.tag[2] == 'ask' and own and ret['seat'][0] > own.epoch:
-            return ballot.lose(run, more[-1]), (), (group.Grant('core', Seat(*ret['seat'])),)
+            return ballot.fail_round(run, more[-1]), (), (group.Grant('core', ReplicaSet(*ret['seat'])),)
         return real(run, event, me, crews, own, *more)
 
-    with patch.object(ballot, 'heard', heard):
+    with patch.object(ballot, 'handle_reply', heard):
         yield
 
 
@@ -393,7 +406,7 @@
 @contextmanager
 def fill_again() -> Iterator[None]:
     """A joiner that has all it needs for its seat is emptied by a late piece of an image."""
-    with patch.object(group, 'completed', lambda copy, message: False):
+    with patch.object(group, 'has_caught_up', lambda copy, message: False):
         yield
 
 
@@ -404,5 +417,5 @@
     def most(names: tuple, crews: tuple) -> bool:
         return all(sum(1 for n, _ in crew if n in names) * 2 >= len(crew) for crew in crews)
 
-    with patch.object(ballot, 'most', most):
+    with patch.object(ballot, 'is_majority', most):
         yield
