--- a/src/quillstall/testbed/model/choices.py
+++ b/src/quillstall/testbed/model/choices.py
@@ -2,7 +2,7 @@
 
 from itertools import combinations
 
-from quillstall.replication.group import Seat
+from quillstall.replication.group import ReplicaSet
 from quillstall.testbed.model.state import AUTHORITY, Step, World, host_of
 
 
@@ -23,7 +23,9 @@
         if limits.losses and spendable(world):
             out.append(Step('lose_disk', name))
         copy = host_of(world.setup).copy(member.state)
-        if not world.setup.core and (copy is None or copy.seat is None or copy.seat.epoch < world.seat.epoch):
+        if not world.setup.core and (
+            copy is None or copy.replica_set is None or copy.replica_set.epoch < world.seat.epoch
+        ):
             out.append(Step('told_seat', name))
     if limits.verdicts and not world.setup.core:
         out.extend(verdicts(world))
@@ -67,17 +69,19 @@
 def verdicts(world: World) -> list[Step]:
     """The changes of the replica set that the authority may ask for. It may be wrong about who lives."""
     seat, out = world.seat, []
-    spare = [name for name in sorted(world.members) if not seat.holds(name)]
+    spare = [name for name in sorted(world.members) if not seat.includes(name)]
     for leader in [m for m in seat.members if m in world.members]:
         for gone in [m for m in seat.members if m != leader]:
             rest = tuple(m for m in seat.members if m != gone)
             enough = len(rest) >= world.setup.copies or gone not in world.members
             if enough or world.setup.lone_verdicts:
-                out.append(Step('verdict', leader, (leader, Seat(seat.epoch + 1, seat.epoch, *rest))))
+                out.append(Step('verdict', leader, (leader, ReplicaSet(seat.epoch + 1, seat.epoch, *rest))))
             for joiner in spare:
-                out.append(Step('verdict', leader, (joiner, Seat(seat.epoch + 1, seat.epoch, *rest, joiner))))
+                out.append(
+                    Step('verdict', leader, (joiner, ReplicaSet(seat.epoch + 1, seat.epoch, *rest, joiner)))
+                )
         if len(seat.members) < world.setup.copies:
             for joiner in spare:
-                wider = Seat(seat.epoch + 1, seat.epoch, *seat.members, joiner)
+                wider = ReplicaSet(seat.epoch + 1, seat.epoch, *seat.members, joiner)
                 out.append(Step('verdict', leader, (joiner, wider)))
     return out
--- a/src/quillstall/testbed/model/invariants.py
+++ b/src/quillstall/testbed/model/invariants.py
@@ -3,7 +3,7 @@
 from immutables import Map
 
 from quillstall.replication import group
-from quillstall.replication.group import Seat
+from quillstall.replication.group import ReplicaSet
 from quillstall.testbed.model.members import Command, Observation, observed
 from quillstall.testbed.model.state import Ledger, Operation, World, breach, host_of
 
@@ -136,16 +136,16 @@
 def holds(world: World, name: str, top: Observation) -> bool:
     """Whether a member's disk alone would bring back what clients were told, in the replica set in force."""
     part = host_of(world.setup).part
-    copy = group.load(name, world.members[name].disk, 0).parts.get(part)
+    copy = group.load(name, world.members[name].disk, 0).partitions.get(part)
     if copy is None or not copy.full:
         return False
-    if copy.seat != world.seat and not group.fit(name, copy, world.seat):
+    if copy.replica_set != world.seat and not group.is_eligible(name, copy, world.seat):
         return False
     seen = observed(copy.rows)
     return seen.generation > top.generation or seen == top
 
 
-def granted(world: World) -> Seat:
+def granted(world: World) -> ReplicaSet:
     """The newest replica set that a majority of the voters' disks has accepted in one round."""
     names, count = world.setup.names, {}
     for name in world.members:
@@ -156,5 +156,5 @@
     best = world.seat
     for (seat, _), votes in count.items():
         if votes * 2 > len(names) and seat[0] > best.epoch:
-            best = Seat(*seat)
+            best = ReplicaSet(*seat)
     return best
--- a/src/quillstall/testbed/model/members.py
+++ b/src/quillstall/testbed/model/members.py
@@ -7,7 +7,7 @@
 
 from quillstall.controlplane import book, core, core_state, shelf
 from quillstall.replication import ballot, group
-from quillstall.replication.group import Grant, Op, Seat
+from quillstall.replication.group import Grant, Op, ReplicaSet
 from quillstall.runtime.effect import Told
 
 START = datetime(2026, 1, 1, tzinfo=UTC)
@@ -86,8 +86,8 @@
     part = PART
     elects = False
 
-    def seat(self, names: tuple, copies: int) -> Seat:
-        return Seat(1, 0, *names[:copies])
+    def seat(self, names: tuple, copies: int) -> ReplicaSet:
+        return ReplicaSet(1, 0, *names[:copies])
 
     def formed(self, names: tuple, copies: int) -> Any:
         """The event that makes a member part of a new cluster."""
@@ -103,7 +103,7 @@
         return self.step(state, Op(PART, tag, request_of(command)), now)
 
     def copy(self, state: group.State) -> group.Copy | None:
-        return state.parts.get(PART)
+        return state.partitions.get(PART)
 
     def sends(self, message: dict) -> bool:
         return True
@@ -115,8 +115,8 @@
     part = CORE_PART
     elects = True
 
-    def seat(self, names: tuple, copies: int) -> Seat:
-        return Seat(1, 0, *names[:copies])
+    def seat(self, names: tuple, copies: int) -> ReplicaSet:
+        return ReplicaSet(1, 0, *names[:copies])
 
     def formed(self, names: tuple, copies: int) -> Any:
         """The word of the core that founds a deployment."""
--- a/src/quillstall/testbed/model/script.py
+++ b/src/quillstall/testbed/model/script.py
@@ -1,6 +1,6 @@
 """Runs that are written down: one step a line, as the scenarios of the model give them."""
 
-from quillstall.replication.group import Seat
+from quillstall.replication.group import ReplicaSet
 from quillstall.testbed.model.choices import choices
 from quillstall.testbed.model.state import Envelope, Setup, Step, World
 from quillstall.testbed.model.world import advance, begin
@@ -56,7 +56,7 @@
         return Step('command', rest[0], kind)
     if kind == 'move':
         leader, joiner, epoch, base, *names = rest
-        return Step('verdict', leader, (joiner, Seat(int(epoch), int(base), *names)))
+        return Step('verdict', leader, (joiner, ReplicaSet(int(epoch), int(base), *names)))
     if kind == 'cut':
         return Step('settle_without', rest[0])
     if kind == 'among':
--- a/src/quillstall/testbed/model/state.py
+++ b/src/quillstall/testbed/model/state.py
@@ -4,7 +4,7 @@
 
 from immutables import Map
 
-from quillstall.replication.group import Seat
+from quillstall.replication.group import ReplicaSet
 from quillstall.testbed.model import members
 from quillstall.testbed.model.members import Command, Observation
 
@@ -110,13 +110,13 @@
 class World(NamedTuple):
     """The whole cluster at one moment.
 
-    >>> World(Setup(), Map(), Seat(1, 0, 'a')).broken
+    >>> World(Setup(), Map(), ReplicaSet(1, 0, 'a')).broken
     ''
     """
 
     setup: Setup
     members: Map
-    seat: Seat  # the newest replica set that was granted
+    seat: ReplicaSet  # the newest replica set that was granted
     messages: tuple = ()
     ledger: Ledger = Ledger()
     limits: Limits = Limits()
--- a/src/quillstall/testbed/model/world.py
+++ b/src/quillstall/testbed/model/world.py
@@ -8,7 +8,7 @@
 from immutables import Map
 
 from quillstall.controlplane import book
-from quillstall.replication.group import Grant, Move, Seat
+from quillstall.replication.group import Grant, ReplicaSet, StartReconfiguration
 from quillstall.runtime.effect import Ask, Done, Heard, Note, Propose, Return, Tick, Told, Write, Wrote
 from quillstall.testbed.model import members
 from quillstall.testbed.model.invariants import judge, look
@@ -103,7 +103,7 @@
     if tag[0] != 'client':
         return world
     copy = host_of(world.setup).copy(world.members[name].state)
-    epoch = copy.seat.epoch if copy and copy.seat else 0
+    epoch = copy.replica_set.epoch if copy and copy.replica_set else 0
     return judge(world, name, epoch, tag[1], ret)
 
 
@@ -149,7 +149,7 @@
     part = host_of(world.setup).part
     rows = Map({f'part/{part}': tuple(world.seat)})
     _, ret = book.seat(rows, {'part': part, 'seat': list(envelope.message)}, None)
-    world = world._replace(seat=Seat(*ret['seat']))
+    world = world._replace(seat=ReplicaSet(*ret['seat']))
     sender = world.members.get(envelope.sender)
     if sender is None or sender.starts != envelope.run:
         return world
@@ -257,7 +257,9 @@
 
 def verdict(world: World, step: Step) -> World:
     joiner, seat = step.what
-    return feed(spend(world, 'verdicts'), step.name, Move(host_of(world.setup).part, joiner, seat))
+    return feed(
+        spend(world, 'verdicts'), step.name, StartReconfiguration(host_of(world.setup).part, joiner, seat)
+    )
 
 
 def told_seat(world: World, step: Step) -> World:
--- a/src/quillstall/testbed/sabotage.py
+++ b/src/quillstall/testbed/sabotage.py
@@ -20,33 +20,38 @@
 @contextmanager
 def skip_backup() -> Iterator[None]:
     """A primary answers when its own disk has the changes, whatever the backup says."""
-    send = group.send
+    send = group.send_batch
 
-    def alone(box: Any, part: str) -> None:
-        send(box, part)
-        copy = box.copy(part)
-        if copy.flight:
-            box.put(copy._replace(flight=copy.flight._replace(want=())))
-            group.land(box, part)
+    def alone(context: Any, part: str) -> None:
+        send(context, part)
+        copy = context.copy(part)
+        if copy.batch:
+            context.put(copy._replace(batch=copy.batch._replace(awaiting=())))
+            group.finish_batch(context, part)
 
-    with patch.object(group, 'send', alone):
+    with patch.object(group, 'send_batch', alone):
         yield
 
 
 @contextmanager
 def old_epoch() -> Iterator[None]:
     """A member confirms a frame of an epoch that it knows to be over."""
-    tell = group.tell
+    tell = group.handle_message
 
-    def polite(box: Any, event: Told) -> None:
+    def polite(context: Any, event: Told) -> None:
         m = event.message
-        copy = box.copy(m['part'])
-        if m['k'] in ('frame', 'hello') and copy and copy.seat and copy.seat.epoch > m['seat'][0]:
-            box.out.append(Return(event.call, {'ok': True, 'seq': m.get('seq', 0), 'tail': []}))
+        copy = context.copy(m['part'])
+        if (
+            m['k'] in ('frame', 'hello')
+            and copy
+            and copy.replica_set
+            and copy.replica_set.epoch > m['seat'][0]
+        ):
+            context.effects.append(Return(event.call, {'ok': True, 'seq': m.get('seq', 0), 'tail': []}))
             return
-        tell(box, event)
+        tell(context, event)
 
-    with patch.object(group, 'tell', polite):
+    with patch.object(group, 'handle_message', polite):
         yield
 
 
@@ -60,13 +65,13 @@
             out.append(Return(call, {'ok': True}))
         return state
 
-    real = ballot.heard
+    real = ballot.handle_reply
 
     def lost(*more: Any) -> tuple:
         run, effects, events = real(*more)
         return run, effects, events if run.stage in ('move', 'won') else ()
 
-    with patch.object(core, 'learn', nothing), patch.object(ballot, 'heard', lost):
+    with patch.object(core, 'learn', nothing), patch.object(ballot, 'handle_reply', lost):
         yield
 
 
@@ -142,10 +147,10 @@
 
     def any_word(known: dict, words: dict) -> tuple:
         known, best = agreed(known, words)
-        return known, best or max(words.values(), key=lambda w: w.rank, default=None)
+        return known, best or max(words.values(), key=lambda w: w.version, default=None)
 
-    agreed = register.agreed
-    with patch.object(register, 'agreed', any_word):
+    agreed = register.read_quorum
+    with patch.object(register, 'read_quorum', any_word):
         yield
 
 
@@ -270,15 +275,15 @@
 @contextmanager
 def copy_nothing() -> Iterator[None]:
     """The core's backup confirms flights whose changes it was not sent."""
-    real = group.send
+    real = group.send_batch
 
-    def hollow(box: Any, part: str) -> None:
-        real(box, part)
+    def hollow(context: Any, part: str) -> None:
+        real(context, part)
         if part == 'core':
-            ask = box.out.pop()
-            box.out.append(ask._replace(message={**ask.message, 'changes': (), 'first': 0}))
+            ask = context.effects.pop()
+            context.effects.append(ask._replace(message={**ask.message, 'changes': (), 'first': 0}))
 
-    with patch.object(group, 'send', hollow):
+    with patch.object(group, 'send_batch', hollow):
         yield
 
 
--- a/src/quillstall/testbed/scale.py
+++ b/src/quillstall/testbed/scale.py
@@ -557,7 +557,7 @@
         )
         begun = time.process_time() - at
         sent = len(cbor2.dumps(ret)) if n == turns else 0
-        rows = group.lay(rows, changes)
+        rows = group.apply_changes(rows, changes)
         at = time.process_time()
         changes, _ = shelf.apply(
             rows,
@@ -579,7 +579,7 @@
             now,
         )
         ended = time.process_time() - at
-        rows, last = group.lay(rows, changes), turn
+        rows, last = group.apply_changes(rows, changes), turn
     kept = sum(len(cbor2.dumps(v)) for v in rows.values())
     return {
         'series': 'history',
--- a/src/quillstall/testbed/weigh.py
+++ b/src/quillstall/testbed/weigh.py
@@ -14,7 +14,7 @@
 
 from quillstall.controlplane import shelf
 from quillstall.replication import group
-from quillstall.replication.group import Seat, Shift
+from quillstall.replication.group import Reconfiguration, ReplicaSet
 from quillstall.runtime.disk import Put, SqliteDisk
 
 T0 = datetime(2026, 1, 1, tzinfo=UTC)
@@ -41,7 +41,7 @@
     def run(command: dict) -> None:
         nonlocal rows
         changes, _ = shelf.apply(rows, command, T0)
-        rows = group.lay(rows, changes)
+        rows = group.apply_changes(rows, changes)
 
     for n in range(turns // parts):
         program, turn = f'desk-{part}-{n}', f'desk-{part}-{n}~k0000000~abc~model1~route1-123456.{n}'
@@ -118,12 +118,15 @@
             _, ret = shelf.sweep(rows, {'program_s': 86_400, 'from': place}, late)
             place = ret.get('at', 0)
             pauses.append(time.monotonic() - at)
-        shift = Shift('c', Seat(2, 1, 'a', 'c'), 'fill', tuple(sorted(rows)), rows)
+        reconfiguration = Reconfiguration('c', ReplicaSet(2, 1, 'a', 'c'), 'fill', tuple(sorted(rows)), rows)
         pieces, heaviest = 0, 0
-        while shift.at < len(shift.keys):
-            keys = group.piece(shift)
-            heaviest = max(heaviest, sum(group.heft(rows[k]) for k in keys))
-            pieces, shift = pieces + 1, shift._replace(at=shift.at + len(keys))
+        while reconfiguration.position < len(reconfiguration.keys):
+            keys = group.next_piece(reconfiguration)
+            heaviest = max(heaviest, sum(group.encoded_size(rows[k]) for k in keys))
+            pieces, reconfiguration = (
+                pieces + 1,
+                reconfiguration._replace(position=reconfiguration.position + len(keys)),
+            )
         return {
             'rows': sum(len(r) for r in all_rows.values()),
             'rows_of_a_part': len(rows),
@@ -134,7 +137,7 @@
             'sweep_ms_most': round(max(pauses) * 1000, 2),
             'pieces_of_a_part': pieces,
             'piece_kb_most': heaviest // 1024,
-            'loaded': len(state.parts),
+            'loaded': len(state.partitions),
         }
 
 
