--- a/features/copies.feature
+++ b/features/copies.feature
@@ -1,12 +1,12 @@
-Feature: Any number of copies: as many machines with a disk may be lost at once as the setting says
+Feature: As many machines with a disk may be lost at once as the setting says
 
   Scenario Outline: two stores and two cores lose their disks at once, seed <seed>
-    Given the deployment "hipotecalc" with 6 stores and 6 cores that bears 2 losses, seed <seed>
-    When its callers come, and two stores lose their disks at once, later the core's primary and a backup
+    Given the deployment "hipotecalc" with 6 stores and 6 cores that tolerates 2 losses, seed <seed>
+    When callers send requests, and two stores lose their disks at once, later the core's primary and a backup
     Then no rule is broken
     And at least 80 of 100 pieces of work are answered well
     And the policy that was acknowledged before is shown
-    And every part has 3 copies in 3 zones, the core 3 copies and 5 witnesses
+    And every partition has 3 copies in 3 zones, the core 3 copies and 5 voters
 
     Examples:
       | seed |
@@ -15,23 +15,23 @@
       | 3    |
 
   Scenario Outline: every process is killed at once, with three copies, seed <seed>
-    Given the deployment "hipotecalc" with 6 stores and 6 cores that bears 2 losses, seed <seed>
-    When every process of ours is killed while its callers come, and started again
+    Given the deployment "hipotecalc" with 6 stores and 6 cores that tolerates 2 losses, seed <seed>
+    When every process of the fleet is killed while callers send requests, and started again
     Then no rule is broken
     And the policy that was acknowledged before is shown
-    And 3 copies of the core and 3 of every part in 3 zones serve within 10 seconds
+    And 3 copies of the core and 3 of every partition in 3 zones serve within 10 seconds
 
     Examples:
       | seed |
       | 11   |
       | 12   |
 
-  Scenario Outline: a store <loss> and its parts are served without it, seed <seed>
-    Given the deployment "cartalume" with 3 stores and 3 cores that bears 1 losses, seed <seed>
-    When a store <loss> while its callers come
+  Scenario Outline: a store <loss> and its partitions are served without it, seed <seed>
+    Given the deployment "cartalume" with 3 stores and 3 cores that tolerates 1 losses, seed <seed>
+    When a store <loss> while callers send requests
     Then no rule is broken
-    And every part is served again within 2 seconds of the loss, by two copies at every moment
-    And every part has 2 copies in 2 zones, the core 2 copies and 3 witnesses
+    And every partition is served again within 2 seconds of the loss, by two copies at every moment
+    And every partition has 2 copies in 2 zones, the core 2 copies and 3 voters
 
     Examples:
       | seed | loss                      |
@@ -39,24 +39,24 @@
       | 5    | loses its disk            |
       | 6    | is frozen for 4 seconds   |
 
-  Scenario Outline: a store <trouble> and its parts are served without it, seed <seed>
-    Given the deployment "cartalume" with 3 stores and 3 cores that bears 1 losses, seed <seed>
-    When a store <trouble> for 4 seconds while its callers come
+  Scenario Outline: a store <trouble> and its partitions are served without it, seed <seed>
+    Given the deployment "cartalume" with 3 stores and 3 cores that tolerates 1 losses, seed <seed>
+    When a store <trouble> for 4 seconds while callers send requests
     Then no rule is broken
-    And every part is served again within 2 seconds of the loss, by two copies at every moment
-    And every part has 2 copies in 2 zones, the core 2 copies and 3 witnesses
+    And every partition is served again within 2 seconds of the loss, by two copies at every moment
+    And every partition has 2 copies in 2 zones, the core 2 copies and 3 voters
 
     Examples:
       | seed | trouble                                     |
       | 21   | is cut off from stores and cores            |
       | 22   | is cut off from stores and cores            |
 
-  Scenario Outline: a store <trouble>, which is no loss, and no partition goes on with one copy, seed <seed>
-    Given the deployment "cartalume" with 3 stores and 3 cores that bears 1 losses, seed <seed>
-    When a store <trouble> for 4 seconds while its callers come
+  Scenario Outline: a store <trouble>, which is no loss, and no partition is served by one copy, seed <seed>
+    Given the deployment "cartalume" with 3 stores and 3 cores that tolerates 1 losses, seed <seed>
+    When a store <trouble> for 4 seconds while callers send requests
     Then no rule is broken
-    And every part is served again within 2 seconds of the loss, by two copies at every moment
-    And every part has 2 copies in 2 zones, the core 2 copies and 3 witnesses
+    And every partition is served again within 2 seconds of the loss, by two copies at every moment
+    And every partition has 2 copies in 2 zones, the core 2 copies and 3 voters
 
     Examples:
       | seed | trouble                                    |
@@ -64,13 +64,13 @@
       | 24   | waits for its disk                         |
       | 25   | waits for its disk as a policy is changed  |
 
-  Scenario: a primary that was served on without wakes and can return nothing
-    Given the deployment "cartalume" with 3 stores and 3 cores that bears 1 losses, seed 7
-    When a store is frozen, its parts are changed without it, and it is asked as it wakes
-    Then it returns for none of the parts that it had
+  Scenario: a primary that was replaced while it was frozen wakes and can answer nothing
+    Given the deployment "cartalume" with 3 stores and 3 cores that tolerates 1 losses, seed 7
+    When a store is frozen, its partitions are changed without it, and it is asked as it wakes
+    Then it answers for none of the partitions that it had
 
-  Scenario: a core that is gone for good is replaced by one that waits at another address
-    Given the deployment "hipotecalc" with 3 stores and 3 cores that bears 1 losses, seed 8
+  Scenario: a core that is gone for good is replaced by a spare one at another address
+    Given the deployment "hipotecalc" with 3 stores and 3 cores that tolerates 1 losses, seed 8
     When a core machine is gone for good and an empty one starts at another address
-    Then the new one is a witness in its place within 12 seconds
+    Then the new one is a voter in its place within 12 seconds
     And the policy that was acknowledged before is shown
--- a/features/losses.feature
+++ b/features/losses.feature
@@ -1,7 +1,7 @@
 Feature: A second loss after a repair, a replacement or a leaving takes nothing that was acknowledged
 
   Scenario Outline: a leaving store is completed only when every partition has all copies elsewhere, <stores> stores, <moment>, seed <seed>
-    Given the deployment "cartalume" with <stores> stores and 3 cores that bears 1 losses, seed <seed>
+    Given the deployment "cartalume" with <stores> stores and 3 cores that tolerates 1 losses, seed <seed>
     When a store is to be retired, and another loses its power for 5 seconds <moment>
     Then it is completed, and each time it was so, every partition had 2 copies on other live stores
     And once completed it stays completed
@@ -23,10 +23,10 @@
     Then the store is completed
 
   Scenario Outline: a store loses its disk right after another was taken away, seed <seed>
-    Given the deployment "cartalume" with 4 stores and 3 cores that bears 1 losses, seed <seed>
+    Given the deployment "cartalume" with 4 stores and 3 cores that tolerates 1 losses, seed <seed>
     When a store is retired and taken away, and another loses its disk at once
     Then no rule is broken
-    And every part has 2 copies in 2 zones, the core 2 copies and 3 witnesses
+    And every partition has 2 copies in 2 zones, the core 2 copies and 3 voters
 
     Examples:
       | seed |
@@ -34,17 +34,17 @@
       | 34   |
 
   Scenario: a store that is to leave and loses its disk is still to leave
-    Given the deployment "cartalume" with 4 stores and 3 cores that bears 1 losses, seed 35
+    Given the deployment "cartalume" with 4 stores and 3 cores that tolerates 1 losses, seed 35
     When a store is to be retired, loses its disk at once and comes back empty
     Then the one that lives there now is emptied and completed
 
   Scenario: a register of two stores is left by one that lost its disk
-    Given the deployment "cartalume" with 3 stores and 3 cores that bears 1 losses, seed 36
+    Given the deployment "cartalume" with 3 stores and 3 cores that tolerates 1 losses, seed 36
     When a store is retired and taken away, and of the two that are left one loses its disk and comes back
     Then a change is acknowledged while one is away, and the register holds the two that live
 
   Scenario Outline: a core that is told to stop hands over first, <which>, seed <seed>
-    Given the deployment "cartalume" with 3 stores and <cores> cores that bears 1 losses, seed <seed>
+    Given the deployment "cartalume" with 3 stores and <cores> cores that tolerates 1 losses, seed <seed>
     When the core's <which> is told to stop and ends
     Then it ended within 2 seconds, and a change sent as it ends is taken within <seconds> seconds
     And the core has 2 copies and 3 voters, and none of the copies is the one that ended
@@ -58,12 +58,12 @@
       | idle voter                    | 3     | 1       | 45   |
 
   Scenario: a core that is told to stop while no other answers ends within 2 seconds
-    Given the deployment "cartalume" with 3 stores and 3 cores that bears 1 losses, seed 46
+    Given the deployment "cartalume" with 3 stores and 3 cores that tolerates 1 losses, seed 46
     When all other cores are down and the primary is told to stop
     Then it ended within 2 seconds
 
   Scenario Outline: a voter that is gone for good is replaced by one that waits, <which>, seed <seed>
-    Given the deployment "cartalume" with 3 stores and 4 cores that bears 1 losses, seed <seed>
+    Given the deployment "cartalume" with 3 stores and 4 cores that tolerates 1 losses, seed <seed>
     When the core's <which> is gone for good while another core waits
     Then within <seconds> seconds the other is a voter in its place, before the next loss may come
 
@@ -76,7 +76,7 @@
       | primary    | 4.0     | 51   |
 
   Scenario Outline: a new primary replaces no voter that answers, seed <seed>
-    Given the deployment "hipotecalc" with 6 stores and 7 cores that bears 2 losses, seed <seed>
+    Given the deployment "hipotecalc" with 6 stores and 7 cores that tolerates 2 losses, seed <seed>
     When the core's primary loses its power for 3 seconds, twice
     Then no core that was up has been replaced
 
@@ -97,12 +97,12 @@
       | 2      | loses its disk and starts again empty | 2       | its return |
 
   Scenario: a store is away with its disk, and the one that served on loses its own
-    Given the deployment "cartalume" with 3 stores and 3 cores that bears 1 losses, seed 63
+    Given the deployment "cartalume" with 3 stores and 3 cores that tolerates 1 losses, seed 63
     When a store loses its power, the primary of its partitions takes work and loses its disk, and both come back
     Then the work that was acknowledged is known
 
   Scenario Outline: overlapping losses with one lost disk, the first store <loss>, <stores> stores, seed <seed>
-    Given the deployment "cartalume" with <stores> stores and 3 cores that bears 1 losses, seed <seed>
+    Given the deployment "cartalume" with <stores> stores and 3 cores that tolerates 1 losses, seed <seed>
     When a store <loss>, the primary of its partitions takes work and loses its disk, and both come back
     Then the work that was acknowledged is known
 
@@ -116,7 +116,7 @@
       | is cut off from stores and cores | 3      | 67   |
 
   Scenario Outline: overlapping losses of the core with one or two lost disks, <losses> losses, seed <seed>
-    Given the deployment "hipotecalc" with <stores> stores and <cores> cores that bears <losses> losses, seed <seed>
+    Given the deployment "hipotecalc" with <stores> stores and <cores> cores that tolerates <losses> losses, seed <seed>
     When <losses> copies of the core's table are frozen, a change is acknowledged, and <losses> others lose their disks
     Then the change that was acknowledged is shown once all are back
 
@@ -127,7 +127,7 @@
       | 2      | 6      | 5     | 70   |
 
   Scenario Outline: <losses> disks are lost, <where>, as every other machine loses its power, seed <seed>
-    Given the deployment "hipotecalc" with <stores> stores and <cores> cores that bears <losses> losses, seed <seed>
+    Given the deployment "hipotecalc" with <stores> stores and <cores> cores that tolerates <losses> losses, seed <seed>
     When a change and work are acknowledged, and at once <losses> machines lose their disks, <where>, and all others their power
     Then the change that was acknowledged is shown once all are back
     And the work that was acknowledged is known
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -1,4 +1,4 @@
-"""Steps that lose several machines at once, and look at how many copies are left and made anew."""
+"""Steps that lose several machines at once, and check how many copies are left and are made anew."""
 
 import asyncio
 from datetime import timedelta
@@ -13,8 +13,8 @@
 from quillstall.testbed.town import Town
 
 
-def town_of(world, name, stores, cores, losses):
-    """A deployment with more stores and with its settings for so many losses."""
+def simulated_town(world, name, stores, cores, losses):
+    """Return a simulated deployment with more stores, set to tolerate `losses`, and how many cores it shall have."""
     deploy = DEPLOYS[name]()
     deploy = deploy._replace(machines=machines('10.0', 7000, 4, stores))
     town = Town(world, deploy)
@@ -23,49 +23,53 @@
     return town, cores
 
 
-async def opened(town, cores, losses):
+async def open_and_settle(town, cores, losses):
+    """Start the deployment with so many cores, and wait until everything has all its copies."""
     await town.open()
     for n in range(3, cores):
         town.add(f'core{n}', 'core', f'z{n % 3}', f'10.0.1.{n + 1}')
     for _ in range(60):
         await town.sleep(1)
         status = await town.status()
-        if status and whole(status, losses):
+        if status and has_all_copies(status, losses):
             return
-    raise AssertionError(f'never whole: {shape(status)}')
+    raise AssertionError(f'never has all copies: {summary(status)}')
 
 
-def shape(status):
+def summary(status):
+    """Return the parts of a status that tell which copies are missing."""
     return status and (status.get('seat'), status.get('core'), status.get('parts'))
 
 
-def whole(status, losses):
+def has_all_copies(status, losses):
+    """Return whether the core has all its voters and copies, and each partition all its copies."""
     return (
         len(status['core']) == 2 * losses + 1
         and len(status['seat']) == losses + 3
         and status['parts']
-        and all(len(seat) == losses + 3 for seat in status['parts'].values())
+        and all(len(replica_set) == losses + 3 for replica_set in status['parts'].values())
     )
 
 
-async def settled(town, losses, seconds=40):
+async def wait_until_settled(town, losses, seconds=40):
+    """Wait until everything has all its copies, at most so many seconds; return the last status."""
     status = None
     for _ in range(seconds):
         await town.sleep(1)
         status = await town.status() or status
-        if status and whole(status, losses):
+        if status and has_all_copies(status, losses):
             break
     return status
 
 
-def lose(town, name):
-    """A machine loses its power and its disk."""
+def kill_and_wipe(town, name):
+    """Take a machine's power and its disk."""
     town.world.kill(town.machines[name])
     town.world.wipe(town.machines[name])
 
 
 @given(
-    'the deployment "{name}" with {stores:d} stores and {cores:d} cores that bears {losses:d} losses, seed {seed:d}'
+    'the deployment "{name}" with {stores:d} stores and {cores:d} cores that tolerates {losses:d} losses, seed {seed:d}'
 )
 def given_town(context, name, stores, cores, losses, seed):
     context.losses = losses
@@ -73,8 +77,8 @@
 
     def play(script):
         async def main(world):
-            town, more = town_of(world, name, stores, cores, losses)
-            await opened(town, more, losses)
+            town, core_count = simulated_town(world, name, stores, cores, losses)
+            await open_and_settle(town, core_count, losses)
             return await script(town)
 
         return World.play(seed, main)
@@ -82,30 +86,30 @@
     context.play = play
 
 
-@when("its callers come, and two stores lose their disks at once, later the core's primary and a backup")
+@when("callers send requests, and two stores lose their disks at once, later the core's primary and a backup")
 def two_lost(context):
     async def script(town):
-        crowd = asyncio.ensure_future(town.crowd.play(timedelta(seconds=24)))
+        callers = asyncio.ensure_future(town.crowd.play(timedelta(seconds=24)))
         await town.sleep(4)
         before = await town.status()
-        seat = next(iter(before['parts'].values()))
-        gone = [n.rpartition('-')[0] for n in seat[2:4]]
-        for name in gone:
-            lose(town, name)
+        replica_set = next(iter(before['parts'].values()))
+        lost = [n.rpartition('-')[0] for n in replica_set[2:4]]
+        for name in lost:
+            kill_and_wipe(town, name)
         await town.sleep(2.5)
-        for name in gone:
+        for name in lost:
             town.start(name)
         await town.sleep(6)
-        gone = [n.rpartition('-')[0] for n in (await town.status())['seat'][2:4]]
+        lost = [n.rpartition('-')[0] for n in (await town.status())['seat'][2:4]]
         answer = await town.ask('PATCH', '/v1/policy', {'keeping_s': 444})
-        for name in gone:
-            lose(town, name)
+        for name in lost:
+            kill_and_wipe(town, name)
         await town.sleep(2.5)
-        for name in gone:
+        for name in lost:
             town.start(name)
-        await crowd
+        await callers
         await town.crowd.idle()
-        status = await settled(town, context.losses)
+        status = await wait_until_settled(town, context.losses)
         shown = await town.ask('GET', '/v1/policy')
         return town.judge(), town.crowd.report(), status, (answer, shown)
 
@@ -121,24 +125,28 @@
 
 
 @then(
-    'every part has {copies:d} copies in {zones:d} zones, the core {seats:d} copies and {witnesses:d} witnesses'
+    'every partition has {copies:d} copies in {zones:d} zones, the core {core_copies:d} copies and {voters:d} voters'
 )
-def all_copies(context, copies, zones, seats, witnesses):
+def all_copies(context, copies, zones, core_copies, voters):
     status = context.status
     assert status, 'no status'
-    where = {n: m['zone'] for n, m in status['members'].items()}
-    for part, seat in status['parts'].items():
-        assert len(seat) - 2 == copies and len({where[n] for n in seat[2:]}) == zones, (part, seat, where)
-    assert len(status['seat']) - 2 == seats and len(status['core']) == witnesses, (
+    zone_of = {name: member['zone'] for name, member in status['members'].items()}
+    for partition, replica_set in status['parts'].items():
+        assert len(replica_set) - 2 == copies and len({zone_of[n] for n in replica_set[2:]}) == zones, (
+            partition,
+            replica_set,
+            zone_of,
+        )
+    assert len(status['seat']) - 2 == core_copies and len(status['core']) == voters, (
         status['seat'],
         status['core'],
     )
 
 
-@when('every process of ours is killed while its callers come, and started again')
+@when('every process of the fleet is killed while callers send requests, and started again')
 def all_killed(context):
     async def script(town):
-        crowd = asyncio.ensure_future(town.crowd.play(timedelta(seconds=14)))
+        callers = asyncio.ensure_future(town.crowd.play(timedelta(seconds=14)))
         await town.sleep(5)
         answer = await town.ask('PATCH', '/v1/policy', {'keeping_s': 444})
         for name in town.startups:
@@ -146,9 +154,9 @@
         await town.sleep(0.8)
         for name in town.startups:
             town.start(name)
-        at = town.clock.now()
+        restarted_at = town.clock.now()
         served = None
-        while served is None and town.clock.now() - at < timedelta(seconds=12):
+        while served is None and town.clock.now() - restarted_at < timedelta(seconds=12):
             await town.sleep(0.2)
             copies = [
                 c
@@ -158,10 +166,10 @@
                 if c.replica_set and c.replica_set.primary == town.hosts[n].state.me and c.ready
             ]
             if len(copies) == 8:
-                served = town.clock.now() - at
-        await crowd
+                served = town.clock.now() - restarted_at
+        await callers
         await town.crowd.idle()
-        status = await settled(town, context.losses)
+        status = await wait_until_settled(town, context.losses)
         shown = await town.ask('GET', '/v1/policy')
         return town.judge(), town.crowd.report(), status, served, (answer, shown)
 
@@ -170,17 +178,17 @@
 
 
 @then(
-    '{seats:d} copies of the core and {copies:d} of every part in {zones:d} zones serve within {seconds:d} seconds'
+    '{core_copies:d} copies of the core and {copies:d} of every partition in {zones:d} zones serve within {seconds:d} seconds'
 )
-def all_served(context, seats, copies, zones, seconds):
+def all_served(context, core_copies, copies, zones, seconds):
     assert context.served is not None and context.served <= timedelta(seconds=seconds), context.served
-    all_copies(context, copies, zones, seats, 5)
+    all_copies(context, copies, zones, core_copies, 5)
 
 
-@when('a store {loss} while its callers come')
+@when('a store {loss} while callers send requests')
 def one_lost(context, loss):
     async def script(town):
-        crowd = asyncio.ensure_future(town.crowd.play(timedelta(seconds=14)))
+        callers = asyncio.ensure_future(town.crowd.play(timedelta(seconds=14)))
         await town.sleep(4)
         name = next(iter((await town.status())['parts'].values()))[2].rpartition('-')[0]
         machine = town.machines[name]
@@ -195,11 +203,11 @@
             if loss.endswith('changed'):
                 await town.ask('PATCH', '/v1/policy', {'keeping_s': 445})
         elif loss == 'loses its disk':
-            lose(town, name)
+            kill_and_wipe(town, name)
         else:
             town.world.kill(machine)
-        at, served = town.clock.now(), None
-        while served is None and town.clock.now() - at < timedelta(seconds=12):
+        lost_at, served = town.clock.now(), None
+        while served is None and town.clock.now() - lost_at < timedelta(seconds=12):
             await town.sleep(0.05)
             hosts = [
                 town.hosts[n].state.copies.partitions
@@ -208,8 +216,8 @@
             ]
             ready = {
                 p: len(c.replica_set.members)
-                for parts in hosts
-                for p, c in parts.items()
+                for partitions in hosts
+                for p, c in partitions.items()
                 if c.ready
                 and not c.sealed
                 and c.replica_set
@@ -218,8 +226,8 @@
                 in [h for h in [x.me for x in [town.hosts[n].state for n in town.named('store')]]]
             }
             if len(ready) == town.startups[name]['parts']:
-                served = town.clock.now() - at
-        short = sum(
+                served = town.clock.now() - lost_at
+        single_copy_count = sum(
             1
             for n in town.named('store')
             for line in town.machines[n].journal.lines
@@ -234,28 +242,30 @@
             machine.hung = False
         else:
             town.start(name)
-        await crowd
+        await callers
         await town.crowd.idle()
-        status = await settled(town, context.losses)
-        return town.judge(), town.crowd.report(), status, served, short
+        status = await wait_until_settled(town, context.losses)
+        return town.judge(), town.crowd.report(), status, served, single_copy_count
 
-    wrong, report, context.status, context.served, context.short = context.play(script)
+    wrong, report, context.status, context.served, context.single_copy_count = context.play(script)
     context.result = {'wrong': wrong, 'report': report}
 
 
-@then('every part is served again within {seconds:d} seconds of the loss, by two copies at every moment')
+@then('every partition is served again within {seconds:d} seconds of the loss, by two copies at every moment')
 def served_by_two(context, seconds):
-    assert context.short == 0, f'{context.short} times a part was served by one copy'
+    assert context.single_copy_count == 0, (
+        f'{context.single_copy_count} times a partition was served by one copy'
+    )
     assert context.served is not None and context.served <= timedelta(seconds=seconds), context.served
 
 
-@when('a store is frozen, its parts are changed without it, and it is asked as it wakes')
-def asked_awake(context):
+@when('a store is frozen, its partitions are changed without it, and it is asked as it wakes')
+def asked_after_thaw(context):
     async def script(town):
-        seat = next((p, s) for p, s in (await town.status())['parts'].items())
-        _part, name = seat[0], seat[1][2].rpartition('-')[0]
+        first = next((p, s) for p, s in (await town.status())['parts'].items())
+        _partition, name = first[0], first[1][2].rpartition('-')[0]
         old = town.hosts[name].state
-        had = [
+        led_before = [
             p
             for p, c in old.copies.partitions.items()
             if c.replica_set and c.replica_set.primary == old.me and c.ready
@@ -263,7 +273,10 @@
         town.world.freeze(town.machines[name])
         await town.sleep(4)
         newest = town.hosts[next(n for n in town.named('store') if n != name)].state.seats
-        assert all(newest[p][0] > old.copies.partitions[p].replica_set.epoch for p in had), (had, newest)
+        assert all(newest[p][0] > old.copies.partitions[p].replica_set.epoch for p in led_before), (
+            led_before,
+            newest,
+        )
         asks = [
             asyncio.ensure_future(
                 town.hand.net.ask(
@@ -272,19 +285,19 @@
                     of_ms(3000),
                 )
             )
-            for p in had
+            for p in led_before
         ]
         await town.sleep(0.2)
         town.world.thaw(town.machines[name])
-        return had, await asyncio.gather(*asks, return_exceptions=True)
+        return led_before, await asyncio.gather(*asks, return_exceptions=True)
 
-    context.woken = context.play(script)
+    context.thawed = context.play(script)
 
 
-@then('it returns for none of the parts that it had')
-def none_returned(context):
-    had, answers = context.woken
-    assert had and all(isinstance(a, Fault) for a in answers), answers
+@then('it answers for none of the partitions that it had')
+def none_answered(context):
+    led_before, answers = context.thawed
+    assert led_before and all(isinstance(a, Fault) for a in answers), answers
 
 
 @when('a core machine is gone for good and an empty one starts at another address')
@@ -311,7 +324,7 @@
     context.gone, context.status, context.policies, context.led = context.play(script)
 
 
-@then('the new one is a witness in its place within 12 seconds')
+@then('the new one is a voter in its place within 12 seconds')
 def in_its_place(context):
     names = [n for n, _ in context.status['core']]
     assert len(names) == 3 and any(n.startswith('core9') for n in names), names
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -3,7 +3,7 @@
 from datetime import UTC, datetime, timedelta
 
 from behave import given, then, when
-from copies import lose, opened, settled, town_of
+from copies import kill_and_wipe, open_and_settle, simulated_town, wait_until_settled
 from immutables import Map
 
 from quillstall.controlplane import core, core_state, placement, status
@@ -253,11 +253,11 @@
         left, lost = town.named('store')[:2]
         status = await completed(town, await retire(town, left))
         town.drop(left)
-        lose(town, lost)
+        kill_and_wipe(town, lost)
         await town.sleep(2)
         town.start(lost)
         await town.crowd.idle()
-        status = await settled(town, 1)
+        status = await wait_until_settled(town, 1)
         return town.judge(), town.crowd.report(), status
 
     wrong, report, context.status = context.play(script)
@@ -269,7 +269,7 @@
     async def script(town):
         name = town.named('store')[0]
         before = await retire(town, name)
-        lose(town, name)
+        kill_and_wipe(town, name)
         await town.sleep(2)
         town.start(name)
         for _ in range(300):
@@ -300,7 +300,7 @@
         await completed(town, await retire(town, left))
         town.drop(left)
         await town.sleep(5)
-        lose(town, lost)
+        kill_and_wipe(town, lost)
         await town.sleep(3)
         away = await town.ask('PATCH', '/v1/policy', {'keeping_s': 444})
         town.start(lost)
@@ -377,7 +377,7 @@
         state, served_by = await claim(town, part, 'first', 8)
         back = False
         if served_by:
-            lose(town, served_by)
+            kill_and_wipe(town, served_by)
             await town.sleep(0.1)
             away.end()
             back = True
@@ -420,7 +420,7 @@
         status = await town.status()
         lost = [machine_of(n) for n in status['seat'][2:] if machine_of(n) not in frozen][:more]
         for name in lost:
-            lose(town, name)
+            kill_and_wipe(town, name)
         await town.sleep(0.2)
         for name in frozen:
             town.world.thaw(town.machines[name])
@@ -470,7 +470,7 @@
         everyone = town.named('core') + town.named('store') + town.named('route')
         for name in everyone:
             if name in wiped:
-                lose(town, name)
+                kill_and_wipe(town, name)
             else:
                 town.world.kill(town.machines[name])
         await town.sleep(1)
@@ -649,10 +649,10 @@
 def full_deployment(context, stores):
     def play(script):
         async def main(world):
-            town, cores = town_of(world, 'cartalume', stores, 3, 1)
+            town, cores = simulated_town(world, 'cartalume', stores, 3, 1)
             for startup in town.startups.values():
                 startup.update(parts=PARTITIONS)
-            await opened(town, cores, 1)
+            await open_and_settle(town, cores, 1)
             await keep_turns(town)
             return await script(town)
 
@@ -676,7 +676,7 @@
     async def script(town):
         name = town.named('store')[0]
         before = member_of(await town.status(), name)
-        lose(town, name)
+        kill_and_wipe(town, name)
         await town.sleep(3)
         town.start(name)
         return await repaired(town, None, before)
--- a/features/steps/register.py
+++ b/features/steps/register.py
@@ -1,4 +1,4 @@
-"""Steps that part the core, the stores and one routing node in the ways that the register must stand."""
+"""Steps on network partitions between the core, the stores and one routing node that the lease quorum must tolerate."""
 
 from datetime import timedelta
 
@@ -10,21 +10,22 @@
 NODE = 'route3'
 
 
-def part(town, name, allowed):
-    """Cut a machine from all of ours but those."""
+def isolate(town, name, allowed):
+    """Cut a machine off from all others of the fleet but the allowed ones."""
     for other in town.startups:
         if other not in (name, *allowed):
             town.world.cut(name, other)
 
 
 async def change(town):
-    """An operator's change; what it came to, how long it took, and who might then have sent under the old."""
+    """Make a change as an operator. Return its outcome, how long it took, and the routing nodes that could still send under
+    the old generation."""
     start = town.world.now()
     status, body = await town.ask(
         'PATCH', '/v1/policy', {'keeping_s': 321}, {'X-Request-Id': 'change'}, limit=13
     )
     now = town.world.now()
-    old = (
+    outdated = (
         [
             n.name
             for n in town.nodes()
@@ -33,10 +34,12 @@
         if status == 200
         else []
     )
-    return {'status': status, 'body': body, 'took': now - start, 'old': old}
+    return {'status': status, 'body': body, 'took': now - start, 'old': outdated}
 
 
-def parted(context, seed, cuts, wait=5.0):
+def change_during(context, seed, cuts, wait=5.0):
+    """Play a change of the policy some time after links were cut; with a longer wait, just after a renewal."""
+
     async def script(town):
         for startup in town.startups.values():
             startup.update(getattr(context, 'settings', {}))
@@ -48,49 +51,49 @@
         before = admission_state.leased(node.state, town.world.now())
         if wait > 5:
             renewed = node.state.lease
-            while node.state.lease == renewed:  # to the moment of a renewal
+            while node.state.lease == renewed:  # until just after a renewal
                 await town.world.sleep(0.005)
-            part(town, NODE, ())
-        got = await change(town)
-        got['leased'] = [before, admission_state.leased(node.state, town.world.now())]
+            isolate(town, NODE, ())
+        outcome = await change(town)
+        outcome['leased'] = [before, admission_state.leased(node.state, town.world.now())]
         town.crowd.over = True
-        return got
+        return outcome
 
-    context.parted = play(seed, context.deploy, script)
+    context.outcome = play(seed, context.deploy, script)
 
 
 @when('a routing node and one store reach only each other, and the policy is changed then')
 def with_one(context):
     async def cuts(town):
-        part(town, NODE, ('store0',))
-        part(town, 'store0', (NODE,))
+        isolate(town, NODE, ('store0',))
+        isolate(town, 'store0', (NODE,))
 
-    parted(context, context.seed, cuts)
+    change_during(context, context.seed, cuts)
 
 
 @when('a routing node and two stores reach only each other, and the policy is changed then')
 def with_two(context):
     async def cuts(town):
-        part(town, NODE, ('store0', 'store1'))
-        part(town, 'store0', (NODE, 'store1'))
-        part(town, 'store1', (NODE, 'store0'))
+        isolate(town, NODE, ('store0', 'store1'))
+        isolate(town, 'store0', (NODE, 'store1'))
+        isolate(town, 'store1', (NODE, 'store0'))
 
-    parted(context, context.seed, cuts)
+    change_during(context, context.seed, cuts)
 
 
-@when('a routing node that lives by the stores is cut off, and the policy is changed at once')
+@when('a routing node that renews its lease from the stores is cut off, and the policy is changed at once')
 def cut_at_once(context):
     async def cuts(town):
-        part(town, NODE, ('store0', 'store1', 'store2'))
+        isolate(town, NODE, ('store0', 'store1', 'store2'))
 
-    parted(context, context.seed, cuts, 6.0)
+    change_during(context, context.seed, cuts, 6.0)
 
 
 async def just_renewed(town):
-    """A routing node that lives by the stores, at the moment of a renewal, and whether it had a lease before."""
+    """Return a routing node that has just renewed its lease from the stores, and whether it had a lease before."""
     await town.open()
-    part(town, NODE, ('store0', 'store1'))
-    part(town, 'store1', (NODE,))
+    isolate(town, NODE, ('store0', 'store1'))
+    isolate(town, 'store1', (NODE,))
     await town.world.sleep(6)
     node = town.hosts[NODE]
     before, renewed = admission_state.leased(node.state, town.world.now()), node.state.lease
@@ -100,16 +103,16 @@
 
 
 @when(
-    "a store's renewal under the new generation is lost on its way to a routing node that lives by the stores"
+    "a store's renewal under the new generation is lost on its way to a routing node that renews its lease from the stores"
 )
 def renewal_lost(context):
     async def script(town):
         node, before = await just_renewed(town)
         town.world.cut('store0', NODE, both=False)
-        got = await change(town)
-        return {**got, 'leased': [before, admission_state.leased(node.state, town.world.now())]}
+        outcome = await change(town)
+        return {**outcome, 'leased': [before, admission_state.leased(node.state, town.world.now())]}
 
-    context.parted = play(context.seed, context.deploy, script)
+    context.outcome = play(context.seed, context.deploy, script)
 
 
 @when(
@@ -124,10 +127,10 @@
             await town.world.sleep(0.02)
             town.start('store0')
             await town.world.sleep(0.05)
-        got = await change(town)
-        return {**got, 'leased': [before, admission_state.leased(node.state, town.world.now())]}
+        outcome = await change(town)
+        return {**outcome, 'leased': [before, admission_state.leased(node.state, town.world.now())]}
 
-    context.parted = play(context.seed, context.deploy, script)
+    context.outcome = play(context.seed, context.deploy, script)
 
 
 @when(
@@ -138,15 +141,15 @@
         await town.open()
         node = town.hosts[NODE]
         renewed = node.state.lease
-        while node.state.lease == renewed:  # to the moment of a renewal
+        while node.state.lease == renewed:  # until just after a renewal
             await town.world.sleep(0.005)
-        part(town, NODE, ())
+        isolate(town, NODE, ())
         for name in town.named('core'):
             town.world.step_clock(town.machines[name], timedelta(seconds=seconds))
-        got = await change(town)
-        return {**got, 'leased': [True, admission_state.leased(node.state, town.world.now())]}
+        outcome = await change(town)
+        return {**outcome, 'leased': [True, admission_state.leased(node.state, town.world.now())]}
 
-    context.parted = play(context.seed, context.deploy, script)
+    context.outcome = play(context.seed, context.deploy, script)
 
 
 @given('a lease of {lease:d} ms in the settings')
@@ -156,33 +159,33 @@
 
 @then('the acknowledgement waited less than {most:d} ms')
 def waited_less(context, most):
-    got = context.parted
-    assert got['leased'][0] and got['took'] < timedelta(milliseconds=most), got
+    outcome = context.outcome
+    assert outcome['leased'][0] and outcome['took'] < timedelta(milliseconds=most), outcome
 
 
 @then('the change is acknowledged, and nobody may send under the old generation')
 def acknowledged(context):
-    got = context.parted
-    assert got['status'] == 200 and got['old'] == [], got
+    outcome = context.outcome
+    assert outcome['status'] == 200 and outcome['old'] == [], outcome
 
 
 @then('the routing node had no lease')
 def no_lease(context):
-    assert context.parted['leased'] == [False, False], context.parted
+    assert context.outcome['leased'] == [False, False], context.outcome
 
 
 @then('the acknowledgement waited for the lease that the stores had renewed')
-def waited(context):
-    assert context.parted['leased'][0] and context.parted['took'] > timedelta(seconds=1.5), context.parted
+def waited_for_renewed(context):
+    assert context.outcome['leased'][0] and context.outcome['took'] > timedelta(seconds=1.5), context.outcome
 
 
 @then('the change is not acknowledged, and the routing node serves on')
-def unknown(context):
-    got = context.parted
-    assert got['status'] != 200 and got['leased'] == [True, True], got
+def not_acknowledged(context):
+    outcome = context.outcome
+    assert outcome['status'] != 200 and outcome['leased'] == [True, True], outcome
 
 
 @then('the change is acknowledged while the routing node may send under the old generation')
-def broken(context):
-    got = context.parted
-    assert got['status'] == 200 and any(n.startswith(NODE) for n in got['old']), got
+def sends_under_old(context):
+    outcome = context.outcome
+    assert outcome['status'] == 200 and any(n.startswith(NODE) for n in outcome['old']), outcome
--- a/features/without_core.feature
+++ b/features/without_core.feature
@@ -24,13 +24,13 @@
 
   Scenario: an acknowledgement waits for the leases that stores have renewed
     Given the deployment "cartalume" in the simulator with seed 1
-    When a routing node that lives by the stores is cut off, and the policy is changed at once
+    When a routing node that renews its lease from the stores is cut off, and the policy is changed at once
     Then the change is acknowledged, and nobody may send under the old generation
     And the acknowledgement waited for the lease that the stores had renewed
 
   Scenario: an acknowledgement waits for an older lease whose later renewal was never heard of
     Given the deployment "cartalume" in the simulator with seed 1
-    When a store's renewal under the new generation is lost on its way to a routing node that lives by the stores
+    When a store's renewal under the new generation is lost on its way to a routing node that renews its lease from the stores
     Then the change is acknowledged, and nobody may send under the old generation
     And the acknowledgement waited for the lease that the stores had renewed
 
@@ -51,17 +51,17 @@
       | 3       |
       | -3      |
 
-  Scenario Outline: with a lease of <lease> ms an acknowledgement waits no longer for a node that <lives>
+  Scenario Outline: with a lease of <lease> ms an acknowledgement waits no longer for a node that <renews>
     Given the deployment "cartalume" in the simulator with seed 1
     And a lease of <lease> ms in the settings
-    When a routing node that <lives> is cut off, and the policy is changed at once
+    When a routing node that <renews> is cut off, and the policy is changed at once
     Then the change is acknowledged, and nobody may send under the old generation
     And the acknowledgement waited less than <most> ms
 
     Examples:
-      | lease | lives               | most |
-      | 1000  | lives by the stores | 1400 |
-      | 2500  | lives by the stores | 3000 |
+      | lease | renews                           | most |
+      | 1000  | renews its lease from the stores | 1400 |
+      | 2500  | renews its lease from the stores | 3000 |
 
   Scenario Outline: the judge can fail: <way>
     Given the deployment "cartalume" in the simulator with seed 1
@@ -70,10 +70,10 @@
     Then the change is acknowledged while the routing node may send under the old generation
 
     Examples:
-      | way             | what                                                | when    |
-      | renew_minority  | a routing node and one store reach only each other  | then    |
-      | ack_minority    | a routing node and two stores reach only each other | then    |
-      | forget_renewed  | a routing node that lives by the stores is cut off  | at once |
+      | way            | what                                                            | when    |
+      | renew_minority | a routing node and one store reach only each other              | then    |
+      | ack_minority   | a routing node and two stores reach only each other             | then    |
+      | forget_renewed | a routing node that renews its lease from the stores is cut off | at once |
 
   Scenario Outline: the judge can fail: <way>
     Given the deployment "cartalume" in the simulator with seed 1
@@ -82,7 +82,7 @@
     Then the change is acknowledged while the routing node may send under the old generation
 
     Examples:
-      | way            | what                                                                                                          |
-      | newest_renewal | a store's renewal under the new generation is lost on its way to a routing node that lives by the stores      |
-      | forget_restart | a store that renewed the lease of a routing node is killed and started twice, and the policy is changed        |
-      | settable_clock | a routing node is cut off, the core's clocks are stepped by 3 s, and the policy is changed at once            |
+      | way            | what                                                                                                                  |
+      | newest_renewal | a store's renewal under the new generation is lost on its way to a routing node that renews its lease from the stores |
+      | forget_restart | a store that renewed the lease of a routing node is killed and started twice, and the policy is changed               |
+      | settable_clock | a routing node is cut off, the core's clocks are stepped by 3 s, and the policy is changed at once                    |
--- a/src/quillstall/replication/__init__.py
+++ b/src/quillstall/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Replication: replica sets, ballots of the voters, the lease quorum, placement and failure detection."""
+"""Replica sets, the ballots of the voters, the lease quorum, placement and failure detection."""
--- a/src/quillstall/replication/ballot.py
+++ b/src/quillstall/replication/ballot.py
@@ -1,12 +1,11 @@
-"""Ballots: who may take a vacant seat, decided by a majority of witnesses that keep only epochs.
-
-A witness remembers, durably and before it says so, the highest epoch it has promised, the last seat
-it has accepted, and the epoch of the round that it accepted it in. A candidate first asks for ballots
-for a new epoch; from a majority's returns it learns the newest seat that may have been granted. If that
-is the seat it sits in, and it holds all its data, it goes on: it brings a partner up (a move, see
-group.py) and then asks the majority to accept. If it is a newer one, a minority may have accepted it
-and no majority ever: it counts as granted only after the candidate has had a majority accept it in this
-round. Any two majorities share a witness, so two rivals cannot both be granted, and no grant is missed.
+"""Ballots that decide the replica set of the core's own partition, by a majority of its voters as in Paxos.
+
+Each voter is an acceptor. It stores, before it replies, the highest epoch it has promised, the last replica set it has
+accepted, and the epoch of the round in which it accepted it. A candidate first asks for ballots for a new epoch; the replies
+of a majority show the newest replica set that may have been granted. If that is the candidate's own, and it holds all its
+data, it brings a joiner up (a reconfiguration, see group.py) and then asks the majority to accept the new one. If it is a
+newer one, perhaps only a minority has accepted it: it counts as granted only after the candidate has had a majority accept it
+in this round. Any two majorities share an acceptor, so two rivals cannot both be granted, and no grant is missed.
 """
 
 from collections.abc import Callable
@@ -22,7 +21,7 @@
 
 
 class Acceptor(NamedTuple):
-    """What one witness remembers, and the returns that wait for its disk.
+    """What one acceptor has stored.
 
     >>> Acceptor().promised
     0
@@ -30,12 +29,12 @@
 
     promised: int = 0
     replica_set: tuple | None = None
-    voters: tuple | None = None  # the witnesses that go with that seat: (name, address)
-    accepted_epoch: int = 0  # the epoch of the round in which it accepted that seat
+    voters: tuple | None = None  # the voters that were accepted with it: (name, address)
+    accepted_epoch: int = 0  # the epoch of the round in which it accepted them
 
 
 class Campaign(NamedTuple):
-    """One candidate's round of ballots.
+    """A candidate's round of ballots.
 
     >>> Campaign().stage
     'idle'
@@ -43,44 +42,42 @@
 
     stage: str = 'idle'
     epoch: int = 0
-    highest_epoch: int = 0
-    granted_by: tuple = ()
-    newest_set: tuple | None = (
-        None  # the seat that was accepted in the latest round, of those that came with ballots
-    )
-    newest_voters: tuple | None = None
+    highest_epoch: int = 0  # the highest epoch that a voter has promised, as far as is known
+    granted_by: tuple = ()  # the voters that have agreed in this stage
+    # of the replica sets that came with the ballots, the one accepted in the latest round
+    newest_set: tuple | None = None
+    newest_voters: tuple | None = None  # the voters accepted with it
     newest_round: int = 0  # the epoch of that round
     replica_set: tuple | None = None
-    voters: tuple | None = None  # the witnesses to be, if this round changes them
-    members: tuple | None = None  # who is to sit, the primary first, if the cause asks for them
+    voters: tuple | None = None  # the new voters, if this round changes them
+    members: tuple | None = None  # the new replica set, the primary first, if the caller has chosen it
     stage_started: datetime | None = None
     failed_at: datetime | None = None
     failed_rounds: int = 0
 
 
 def load(rows: dict) -> Acceptor:
-    """What the disk held of a witness.
+    """Return the acceptor from its stored row.
 
     >>> load({'witness': [4, [4, 3, 'a', 'b'], None]}).promised
     4
     """
     promised, replica_set, voters, *accepted = rows.get('witness') or (0, None, None)
-    accepted_epoch = (
-        accepted[0] if accepted else (replica_set or (0,))[0]
-    )  # older files: each in its own seat's round
+    # rows of older versions don't hold the round: it was the replica set's own epoch
+    accepted_epoch = accepted[0] if accepted else (replica_set or (0,))[0]
     return Acceptor(
         promised, tuple(replica_set) if replica_set else None, decode_voters(voters), accepted_epoch
     )
 
 
 def acceptor_row(acceptor: Acceptor) -> Put:
-    """The row that keeps a witness: `save(Witness(3))`."""
+    """Return the row that stores an acceptor: `acceptor_row(Acceptor(3))`."""
     replica_set = list(acceptor.replica_set) if acceptor.replica_set else None
     return Put('', 'witness', [acceptor.promised, replica_set, acceptor.voters, acceptor.accepted_epoch])
 
 
 def decode_voters(voters: Any) -> tuple | None:
-    """A crew as it came over the wire.
+    """Return voters decoded from the wire or from the disk.
 
     >>> decode_voters([['a', '1:1']])
     (('a', '1:1'),)
@@ -89,7 +86,7 @@
 
 
 def is_majority(names: tuple, configurations: tuple) -> bool:
-    """Whether these are a majority of each crew: while witnesses change, both the old and the new.
+    """Return whether these names are a majority of each configuration: of the old and of the new one while voters change.
 
     >>> old, new = (('a', ''), ('b', ''), ('c', '')), (('a', ''), ('b', ''), ('d', ''))
     >>> is_majority(('a', 'b'), (old, new)), is_majority(('a', 'c'), (old, new))
@@ -99,7 +96,7 @@
 
 
 def voter_names(configurations: tuple) -> tuple:
-    """The names of all crews, each once.
+    """Return the names of all voters, each once.
 
     >>> voter_names(((('a', ''), ('b', '')), (('b', ''),)))
     ('a', 'b')
@@ -108,7 +105,7 @@
 
 
 def vote(acceptor: Acceptor, told: Told) -> tuple[Acceptor, tuple]:
-    """A witness's word on one message. A yes goes out only after its Write.
+    """Return the acceptor and the effects after a message. It agrees only once its row is written.
 
     >>> acceptor, effects = vote(Acceptor(), Told(1, {'k': 'ballot', 'epoch': 2}))
     >>> acceptor.promised, type(effects[0]).__name__
@@ -141,7 +138,7 @@
 
 
 def reply_after_write(event: Wrote) -> tuple:
-    """The yes that waited for the disk.
+    """Return the reply that waited for the write.
 
     >>> reply_after_write(Wrote(('w', 7, {'ok': True})))[0].call
     7
@@ -158,8 +155,8 @@
     voters: tuple | None = None,
     members: tuple | None = None,
 ) -> tuple[Campaign, tuple]:
-    """Ask every witness for its ballot for the next epoch. `crew` and `members` are what the round is to
-    bring, if it is held to change the witnesses or the seat.
+    """Ask every voter to promise the next epoch. `voters` and `members` are the outcome that the round shall have, if
+    it is held to change the voters or the replica set.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
@@ -194,8 +191,8 @@
     choose: Callable[[tuple], tuple | None],
     now: datetime,
 ) -> tuple[Campaign, tuple, tuple]:
-    """Count a ballot. Gives the campaign, the effects, and events for the group. `choose` names the members
-    of the seat to be, the primary first, from those whose ballots came.
+    """Count a voter's reply. Return the campaign, the effects, and events for group.step. `choose` returns the members of
+    the new replica set, the primary first, from the voters that have granted their ballots; None if it cannot.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
@@ -213,7 +210,7 @@
     if reply is None or 'fault' in reply or epoch != campaign.epoch or campaign.stage != stage:
         return campaign, (), ()
     campaign = campaign._replace(highest_epoch=max(campaign.highest_epoch, reply['promised']))
-    if not reply['ok']:  # what this one witness has accepted need not have been granted
+    if not reply['ok']:  # what a single acceptor has accepted need not have been granted
         return fail_round(campaign, now), (), ()
     if reply.get('seat') and reply['accepted'] > campaign.newest_round:
         campaign = campaign._replace(
@@ -270,7 +267,7 @@
 def propose(
     campaign: Campaign, replica_set: tuple, configurations: tuple, voters: tuple, now: datetime
 ) -> tuple[Campaign, tuple]:
-    """The partner is up: ask the witnesses to accept the seat, and the crew that goes with it.
+    """The joiner is brought up: ask the voters to accept the replica set, and the voters that go with it.
 
     >>> voters = (('a', ''), ('b', ''), ('c', ''))
     >>> campaign, effects = propose(Campaign('move', 2), (2, 1, 'a', 'c'), (voters,), voters, None)
@@ -285,7 +282,7 @@
 def request_accept(
     campaign: Campaign, replica_set: tuple, voters: tuple | None, configurations: tuple, now: datetime
 ) -> tuple[Campaign, tuple]:
-    """Ask every witness to accept a seat in this round: a new one, or one that an earlier round left open.
+    """Ask every voter to accept a replica set in this round: a new one, or one that an earlier round left undecided.
 
     >>> campaign, effects = request_accept(Campaign('ask', 4), (2, 1, 'a', 'c'), None, ((('a', ''),),), None)
     >>> effects[0].message['epoch'], effects[0].message['seat']
@@ -301,7 +298,7 @@
 
 
 def fail_round(campaign: Campaign, now: datetime) -> Campaign:
-    """Rest before the next round; the caller adds a random part.
+    """End the round without a result. The caller waits before the next one, with random jitter.
 
     >>> fail_round(Campaign('ask', 3, 5), None).stage
     'idle'
@@ -312,7 +309,7 @@
 
 
 def tick(campaign: Campaign, now: datetime) -> tuple[Campaign, tuple]:
-    """Give up a round that takes too long.
+    """Give up a round that has timed out.
 
     >>> tick(Campaign(), None)[0].stage
     'idle'
--- a/src/quillstall/replication/group.py
+++ b/src/quillstall/replication/group.py
@@ -1,21 +1,21 @@
-"""Group: one member's copies of replicated parts, as a reducer.
-
-A part has a seat: an epoch, a primary and backups, given by an authority. The primary takes
-commands in flights: the commands of one flight are run against the rows, and the flight is done
-when its changes are synced here and every backup has confirmed, under the same epoch, that it has
-synced them too. Only then does any command of the flight, reads included, get its return. So a
-primary of which one backup has moved on to another epoch can return nothing. A seat without backups
-needs nobody's word: nobody else holds what it holds, so nobody can lead the part away from it.
-
-Within an epoch one member orders all changes, and every other copy holds a prefix of that order.
-A seat is changed by a move, led by either seated member:
-  fill    an image of the rows goes to the joiner, piece by piece,
-  follow  then the changes since,
-  seal    the leader durably stops confirming its epoch,
-  last    the joiner gets what is left, and the word that this was all: it may then take the seat, and
-          no message of this or of another leader changes its rows for that epoch any more,
-  propose the authority is asked for the new seat.
-Hence each member of a granted seat holds all that was ever returned for.
+"""One member's copies of replicated partitions, as a pure state machine: primary-backup replication with epochs.
+
+A partition has a replica set: an epoch, a primary and backups, granted by an authority (the core, or for the core's own
+partition the ballots of its voters). The primary runs the queued commands as a batch against its rows. A batch is finished
+when its changes are synced here and every backup has confirmed, under the same epoch, that it has synced them too. Only
+then is any command of the batch answered, reads included. So a primary that has lost a single backup to a later epoch can
+answer nothing. A replica set without backups needs no confirmation: no other member holds the data, so none can start a
+later epoch with it.
+
+Within an epoch the primary orders all changes, and every other copy holds a prefix of that order. A replica set is
+changed by a reconfiguration, which any member of the present set may lead. Its stages:
+  fill     the leader sends a snapshot of the rows to the joiner, in pieces;
+  follow   it sends the changes made since;
+  seal     it durably stops confirming its epoch;
+  last     it sends the joiner the rest and says that this was all. The joiner is eligible now, and no message of this or
+           of another leader changes its rows for that epoch any more;
+  propose  it asks the authority to grant the new replica set.
+Hence every member of a granted replica set holds every change that was ever acknowledged.
 """
 
 from collections.abc import Callable
@@ -42,8 +42,9 @@
 from quillstall.runtime.errors import Fault
 
 KINDS = ('frame', 'hello', 'fill', 'follow', 'pull', 'refill')
-REPLICA_SET_KINDS = ('frame', 'hello', 'pull', 'refill')  # between the members of one seat, under its epoch
-SESSION_KINDS = ('frame', 'pull', 'refill')  # what only the primary's newest session may say
+# sent between the members of one replica set, under its epoch
+REPLICA_SET_KINDS = ('frame', 'hello', 'pull', 'refill')
+SESSION_KINDS = ('frame', 'pull', 'refill')  # accepted only from the primary's newest session
 MAX_MESSAGE_ROWS = 1000
 MAX_MESSAGE_BYTES = 512 * 1024
 MIN_LOG_CHANGES = 64
@@ -56,7 +57,7 @@
 
 
 class ReplicaSet(tuple):
-    """Who holds a part: an epoch, the epoch that it follows, the primary, and its backups, none to many.
+    """The members of a partition: an epoch, the epoch that it follows, the primary, and any number of backups.
 
     >>> ReplicaSet(2, 1, 'a', 'b').others('a'), ReplicaSet(2, 1, 'a', 'b', 'c').backups, ReplicaSet(2, 1, 'a').members
     (('b',), ('b', 'c'), ('a',))
@@ -90,11 +91,11 @@
         return tuple(self[2:])
 
     def others(self, me: str) -> tuple:
-        """The seat's other members: `seat.others('a')`."""
+        """Return the other members: `replica_set.others('a')`."""
         return tuple(name for name in self[2:] if name != me)
 
     def includes(self, me: str) -> bool:
-        """Whether `me` sits here.
+        """Return whether `me` is a member.
 
         >>> ReplicaSet(1, 0, 'a', 'b').includes('c')
         False
@@ -103,7 +104,7 @@
 
 
 class PendingCommand(NamedTuple):
-    """A command that waits or flies, and whom to tell.
+    """A command that is queued or in a batch, the tag of its caller, and its reply once it has run.
 
     >>> PendingCommand(('t',), {'op': 'x'}, {}).reply
     {}
@@ -115,25 +116,25 @@
 
 
 class Batch(NamedTuple):
-    """The commands being confirmed now.
+    """The commands whose changes are being replicated now.
 
     >>> Batch(1, 0, (), ()).synced
     False
     """
 
     number: int
-    base_seq: int
+    base_seq: int  # the sequence number before its first change
     changes: tuple
     commands: tuple
-    synced: bool = False
+    synced: bool = False  # whether its changes are synced on the primary's own disk
     awaiting: tuple = ()  # the backups that have not confirmed yet
     sent_at: datetime | None = None
-    in_flight: tuple = ()  # those of them that a message is under way to
-    rows_before: Map | None = None  # the rows without these changes, which are not confirmed yet
+    in_flight: tuple = ()  # those of them with a message that is not answered yet
+    rows_before: Map | None = None  # the rows without its changes, which are not confirmed yet
 
 
 class Reconfiguration(NamedTuple):
-    """A move that this member leads.
+    """A change of the replica set that this member leads.
 
     >>> Reconfiguration('c', ReplicaSet(2, 1, 'a', 'c'), 'fill').stage
     'fill'
@@ -144,31 +145,31 @@
     stage: str
     keys: tuple = ()
     snapshot: Map = Map()
-    position: int = 0
-    sent_seq: int = 0
+    position: int = 0  # how many of the keys have been sent
+    sent_seq: int = 0  # the joiner has the changes up to this sequence number
     sent_at: datetime | None = None
     request_pending: bool = False
-    fill_id: tuple = ()  # the leader, and which of its fills this is
+    fill_id: tuple = ()  # the leader, and the number of its fill
 
 
 class Transfer(NamedTuple):
-    """The rows of a whole copy on their way between two members of one seat, because the one that is behind
-    cannot be brought up from the other's log. The side that takes them lays them over its own only when it
-    has all, in one write.
+    """A transfer of all rows between two members of one replica set, used where the log of the one that is ahead
+    no longer reaches back to the one that is behind. The receiver replaces its rows only once it has all of
+    them, in one write.
 
     >>> len(Transfer('b', 7).snapshot)
     0
     """
 
     peer: str
-    seq: int  # where the order stands with these rows
-    snapshot: Map = Map()  # the rows: of the sender all, of the receiver those that have come
-    keys: tuple = ()  # as the sender: all keys in order
-    position: int = 0  # how many of them are over there
+    seq: int  # the sequence number of these rows
+    snapshot: Map = Map()  # the sender's rows; at the receiver those that have arrived
+    keys: tuple = ()  # at the sender: all keys in order
+    position: int = 0  # how many rows the receiver has
 
 
 class Copy(NamedTuple):
-    """One member's copy of one part.
+    """One member's copy of one partition.
 
     >>> Copy('p00').seq
     0
@@ -176,26 +177,26 @@
 
     partition: str
     replica_set: ReplicaSet | None = None
-    seq: int = 0
-    sealed: bool = False
-    full: bool = False
-    joining_epoch: int = 0
+    seq: int = 0  # the sequence number of the last change in its rows
+    sealed: bool = False  # it confirms nothing under its epoch any more
+    full: bool = False  # it holds all rows up to `seq`, not a part of a snapshot
+    joining_epoch: int = 0  # as joiner: the epoch that it is being brought up for
     rows: Map = Map()
-    log: tuple = ()
-    ready: bool = False
+    log: tuple = ()  # the latest changes, with their sequence numbers
+    ready: bool = False  # as primary: it runs commands
     session: int = 0
     batch: Batch | None = None
     queue: tuple = ()
     reconfiguration: Reconfiguration | None = None
-    caught_up: bool = False  # as joiner: all that was ever returned for before epoch `prep` is here
-    fill_id: tuple = ()  # as joiner: whose fill this is
-    rows_received: int = 0  # as joiner: how many rows of its image have come
-    last_confirmed: datetime | None = None  # when the other members were last heard, the most silent one
+    caught_up: bool = False  # as joiner: it holds every change acknowledged before `joining_epoch`
+    fill_id: tuple = ()  # as joiner: the fill that it accepts
+    rows_received: int = 0  # as joiner: how many rows of the snapshot have arrived
+    last_confirmed: datetime | None = None  # when the member that has been silent for longest last confirmed
     confirmed_at: Map = Map()  # as primary: backup -> when it last confirmed
-    backup_positions: Map = Map()  # as primary, before the first flight: backup -> where it stands
+    backup_positions: Map = Map()  # as primary, before it serves: backup -> (seq, log)
     hello_sent_at: datetime | None = None
-    syncing_session: int = 0  # as primary: the session whose write of all that this copy holds has been begun
-    synced_session: int = 0  # as primary: the session in which all that this copy holds is synced here
+    syncing_session: int = 0  # as primary: the session that has begun to sync all that this copy holds
+    synced_session: int = 0  # as primary: the session in which all that this copy holds is synced
     transfer: Transfer | None = None
 
 
@@ -213,7 +214,7 @@
 
 
 class Op(NamedTuple):
-    """Run a command on a part that this member is primary of.
+    """Run a command on a partition whose primary is this member.
 
     >>> Op('p00', ('t',), {'op': 'read'}).partition
     'p00'
@@ -225,7 +226,7 @@
 
 
 class StartReconfiguration(NamedTuple):
-    """Lead a move: bring `joiner` up and ask for `seat`.
+    """Lead a reconfiguration: bring `joiner` up and propose `replica_set`.
 
     >>> StartReconfiguration('p00', 'c', ReplicaSet(2, 1, 'a', 'c')).joiner
     'c'
@@ -237,7 +238,7 @@
 
 
 class Grant(NamedTuple):
-    """The authority's word: this is the seat of the part now.
+    """The authority has granted this replica set.
 
     >>> Grant('p00', ReplicaSet(1, 0, 'a', 'b')).replica_set.epoch
     1
@@ -248,7 +249,7 @@
 
 
 class CancelReconfiguration(NamedTuple):
-    """Give up a move that this member leads, before its seal.
+    """Give up a reconfiguration that this member leads, unless it is sealed.
 
     >>> CancelReconfiguration('p00').partition
     'p00'
@@ -258,7 +259,7 @@
 
 
 def load(me: str, rows: dict[str, dict], count: int, heartbeats: bool = False) -> State:
-    """The state after a start, from what the disk held. `count` makes this run's sessions its own.
+    """Return the state after a start, from the stored rows. `count` keeps this run's session numbers apart from earlier ones.
 
     >>> s = load('a', {'p00': {'#mark': [[3, 2, 'a', 'b'], 7, False, True, 0], 'x': 1}}, 5)
     >>> s.partitions['p00'].replica_set.epoch, s.partitions['p00'].rows['x'], s.partitions['p00'].ready
@@ -290,7 +291,7 @@
 
 
 def metadata_row(copy: Copy) -> Put:
-    """The row that keeps a copy's standing.
+    """Return the row that stores the state of a copy besides its table.
 
     >>> metadata_row(Copy('p00', seq=2)).value
     [None, 2, False, False, 0, False]
@@ -304,7 +305,7 @@
 
 
 def apply_changes(rows: Map, changes: Any) -> Map:
-    """Rows with changes laid over them.
+    """Return the rows with the changes applied. A value of None removes a key.
 
     >>> sorted(apply_changes(Map({'a': 1, 'b': 2}), (('a', None), ('c', 3))))
     ['b', 'c']
@@ -319,41 +320,41 @@
 
 
 def apply_log(rows: Map, changes: tuple) -> Map:
-    """Rows with numbered changes laid over them, one after another.
+    """Return the rows with numbered changes applied in order.
 
     >>> dict(apply_log(Map({'a': 1}), ((5, (('a', 2),)), (6, (('a', 3),)))))
     {'a': 3}
     """
-    for _, more in changes:
-        rows = apply_changes(rows, more)
+    for _, entry in changes:
+        rows = apply_changes(rows, entry)
     return rows
 
 
-def extend_log(log: tuple, new: tuple) -> tuple:
-    """A log with new changes, cut at its old end, and never inside of what is new: a member that lacks a
-    batch lacks all of it.
+def extend_log(log: tuple, new_changes: tuple) -> tuple:
+    """Return the log with new changes, truncated at its old end. The new changes are all kept: a member that lacks
+    a batch lacks all of it.
 
     >>> len(extend_log(((1, ()),), tuple((n, ()) for n in range(2, 102)))), len(extend_log(((1, ()),), ((2, ()),)))
     (100, 2)
     """
-    return (log + new)[-max(MIN_LOG_CHANGES, len(new)) :]
+    return (log + new_changes)[-max(MIN_LOG_CHANGES, len(new_changes)) :]
 
 
 def decode_changes(changes: Any) -> tuple:
-    """Numbered changes as they came over the wire or from the disk.
+    """Return numbered changes decoded from the wire or from the disk.
 
     >>> decode_changes([[5, [['a', 2]]]])
     ((5, (('a', 2),)),)
     """
-    return tuple((n, tuple(tuple(c) for c in more)) for n, more in changes)
+    return tuple((n, tuple(tuple(c) for c in entry)) for n, entry in changes)
 
 
 def is_eligible(me: str, copy: Copy | None, replica_set: ReplicaSet) -> bool:
-    """Whether this copy may take the seat: it must hold all that was returned for before it.
+    """Return whether this copy may join the replica set: it must hold all that was acknowledged before its epoch.
 
-    A member of a granted seat sat in the one before, or was brought up for this one and told that it has all.
-    So one that missed a seat, and was not brought up since, sat in that one too; nothing was returned there
-    without its word, and it lacks nothing.
+    A member of a granted replica set was a member of the previous one, or was brought up for this one and told that
+    it has everything. So a member that missed a grant, and was not brought up since, was a member of that set too;
+    nothing was acknowledged there without its confirmation, and it lacks nothing.
 
     >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), full=True)
     >>> is_eligible('a', old, ReplicaSet(3, 2, 'a', 'c')), is_eligible('a', old, ReplicaSet(4, 3, 'a', 'c')), is_eligible('a', old, ReplicaSet(3, 1, 'a', 'c'))
@@ -385,9 +386,9 @@
 
 
 def step(state: State, event: Any, now: datetime, apply: ApplyCommand) -> tuple[State, tuple]:
-    """The next state and the effects, for any event of the group.
+    """Return the next state and the effects of an event.
 
-    A lone primary returns nothing before its backup has confirmed:
+    A primary runs no command before it has synchronized with its backup:
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
@@ -427,7 +428,7 @@
 
 
 class StepContext:
-    """The state of one step while it is being worked out; never outlives the step."""
+    """The state and the effects of one step, discarded after it."""
 
     def __init__(self, state: State, now: datetime, apply: ApplyCommand):
         self.state = state
@@ -439,6 +440,7 @@
         return self.state.partitions.get(partition)
 
     def put(self, copy: Copy) -> Copy:
+        """Replace the copy in the state; report a violation if it goes back."""
         before = self.state.partitions.get(copy.partition)
         if before is not None and before.replica_set is not None and regresses(before, copy):
             facts = {
@@ -451,16 +453,18 @@
         return copy
 
     def save(self, copy: Copy, puts: tuple = (), tag: tuple = ('g', '', 0, 'none', 0)) -> None:
+        """Write the copy's state, and other rows with it."""
         self.effects.append(Write(puts + (metadata_row(copy),), tag))
 
     def next_number(self) -> int:
+        """Return a number that no session, batch or fill of this member has had."""
         self.state = self.state._replace(count=self.state.count + 1)
         return self.state.count
 
 
-def regresses(old: Copy, new: Copy) -> bool:
-    """Whether a copy loses an epoch, or changes that it had in one, or has two replica sets in one. One that is
-    brought up for a later epoch takes rows in place of its own.
+def regresses(before: Copy, after: Copy) -> bool:
+    """Return whether a copy goes back to an earlier epoch, loses changes within one, or has two replica sets in one.
+    A copy that is brought up for a later epoch may replace its rows.
 
     >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), seq=7, full=True)
     >>> regresses(old, old._replace(seq=8)), regresses(old, old._replace(seq=6))
@@ -470,26 +474,27 @@
     >>> regresses(old, old._replace(seq=6, joining_epoch=4))
     False
     """
-    if new.replica_set is not old.replica_set and new.replica_set != old.replica_set:
-        return new.replica_set is None or new.replica_set.epoch <= old.replica_set.epoch
-    return new.joining_epoch == 0 and old.full and new.full and new.seq < old.seq
+    if after.replica_set is not before.replica_set and after.replica_set != before.replica_set:
+        return after.replica_set is None or after.replica_set.epoch <= before.replica_set.epoch
+    return after.joining_epoch == 0 and before.full and after.full and after.seq < before.seq
 
 
 def moved_fault(copy: Copy | None) -> dict:
+    """Return the packed fault of a command that came to a member which is not the primary."""
     replica_set = list(copy.replica_set) if copy and copy.replica_set else None
     return Fault('moved', 'not the primary', more={'seat': replica_set}).pack()
 
 
 def reject_pending(context: StepContext, copy: Copy) -> Copy:
-    """Tell the owners of all commands on hand that this copy will not return for them."""
+    """Answer all queued and running commands with `moved`; return the copy without them."""
     commands = (copy.batch.commands if copy.batch else ()) + copy.queue
-    for item in commands:
-        context.effects.append(Done(item.tag, moved_fault(copy)))
+    for pending in commands:
+        context.effects.append(Done(pending.tag, moved_fault(copy)))
     return copy._replace(batch=None, queue=(), ready=False)
 
 
 def apply_grant(context: StepContext, partition: str, replica_set: ReplicaSet) -> None:
-    """Take a seat, or learn that the part sits elsewhere."""
+    """Join a newer replica set, or drop the rows if this copy is not in it."""
     me = context.state.me
     copy = context.copy(partition)
     if copy and copy.replica_set and copy.replica_set.epoch >= replica_set.epoch:
@@ -498,7 +503,7 @@
         copy = copy or Copy(partition)
         copy = reject_pending(context, copy) if replica_set.primary != me else copy._replace(ready=False)
         queue = copy.queue + ()
-        if copy.batch:  # its changes are in our rows: they need a new flight
+        if copy.batch:  # its changes are in these rows and have to be replicated anew
             queue = (
                 tuple(PendingCommand(i.tag, {'op': '#again', 'ret': i.reply}) for i in copy.batch.commands)
                 + queue
@@ -548,8 +553,8 @@
 
 
 def send_hello(context: StepContext, partition: str) -> None:
-    """As primary, agree with the backups where the order stands, before any flight. Those that have not
-    said it yet are asked again in the same session: one with a slow disk answers late."""
+    """As primary, ask the backups for their positions before the first batch. Those that have not answered are
+    asked again in the same session: one with a slow disk answers late."""
     copy = context.copy(partition)
     if copy.hello_sent_at and context.now - copy.hello_sent_at < RETRY_INTERVAL:
         return
@@ -569,27 +574,27 @@
 
 
 def primary_fields(copy: Copy) -> dict:
-    """What each message of a primary to its backups carries: `from_primary(copy)`."""
+    """Return the fields common to all messages from a primary to its backups: `primary_fields(copy)`."""
     return {'part': copy.partition, 'seat': list(copy.replica_set), 'session': copy.session}
 
 
 def restart_session(context: StepContext, partition: str) -> None:
-    """As primary, begin anew to agree: a backup has started again or lacks something."""
+    """As primary, synchronize with the backups anew: one has restarted or lacks changes."""
     copy = context.copy(partition)
     context.put(copy._replace(ready=False, session=0, transfer=None))
     send_hello(context, partition)
 
 
 def unconfirmed_ms(context: StepContext, copy: Copy) -> int:
-    """For how many milliseconds this primary has had no confirmation. A backup that hears a primary
-    which does not hear it back must not count it as alive."""
+    """Return for how many milliseconds this primary has been without a confirmation. A backup that hears from a
+    primary which does not hear it must not count that primary as alive."""
     return (
         0 if copy.last_confirmed is None else (context.now - copy.last_confirmed) // timedelta(milliseconds=1)
     )
 
 
 def record_confirmation(context: StepContext, copy: Copy, backup: str) -> Copy:
-    """A backup has confirmed: the copy with that, and with how silent the most silent one is.
+    """Return the copy with a backup's confirmation at this time recorded.
 
     >>> t = datetime(2026, 1, 1); context = StepContext(State('a'), t + RETRY_INTERVAL, None)
     >>> copy = Copy('p', ReplicaSet(1, 0, 'a', 'b', 'c'), confirmed_at=Map({'b': t, 'c': t}))
@@ -599,7 +604,7 @@
     True
     """
     confirmed_at = copy.confirmed_at.set(backup, context.now)
-    since = copy.last_confirmed or context.now  # of those not heard since this process started
+    since = copy.last_confirmed or context.now  # for those not heard from since this process started
     return copy._replace(
         confirmed_at=confirmed_at,
         last_confirmed=min(confirmed_at.get(b, since) for b in copy.replica_set.backups),
@@ -607,26 +612,26 @@
 
 
 def start_batch(context: StepContext, partition: str) -> None:
-    """Start the next flight, if the copy may and there is something to fly."""
+    """Run the queued commands and replicate them as the next batch, if the copy may."""
     copy = context.copy(partition)
     if not copy.ready or copy.sealed or copy.batch or not copy.queue:
         return
     rows, seq, commands, changes = copy.rows, copy.seq, [], []
-    for item in copy.queue:
-        if item.command.get('op') == '#again':
-            commands.append(item._replace(reply=item.command['ret']))
+    for pending in copy.queue:
+        if pending.command.get('op') == '#again':
+            commands.append(pending._replace(reply=pending.command['ret']))
             continue
         try:
-            more, reply = context.apply(partition, rows, item.command, context.now)
+            entry, reply = context.apply(partition, rows, pending.command, context.now)
         except Fault as e:
-            more, reply = (), e.pack()
+            entry, reply = (), e.pack()
         except (KeyError, TypeError, ValueError, AttributeError) as e:
-            more, reply = (), Fault('garbled', f'{type(e).__name__}: {e}').pack()
-        if more:
-            rows = apply_changes(rows, more)
+            entry, reply = (), Fault('garbled', f'{type(e).__name__}: {e}').pack()
+        if entry:
+            rows = apply_changes(rows, entry)
             seq += 1
-            changes.append((seq, tuple(more)))
-        commands.append(item._replace(reply=reply))
+            changes.append((seq, tuple(entry)))
+        commands.append(pending._replace(reply=reply))
     batch = Batch(
         context.next_number(),
         copy.seq,
@@ -647,18 +652,18 @@
 
 
 def batch_writes(partition: str, changes: tuple) -> tuple:
-    """The rows that a flight's changes write, and the flight itself, kept for the peer's sake."""
-    puts = tuple(Put(partition, key, value) for _, more in changes for key, value in more)
-    return puts + (Put(partition, '#last', [[n, [list(c) for c in more]] for n, more in changes]),)
+    """Return the writes of a batch: its rows, and its changes as the stored log, for members that lack them."""
+    puts = tuple(Put(partition, key, value) for _, entry in changes for key, value in entry)
+    return puts + (Put(partition, '#last', [[n, [list(c) for c in entry]] for n, entry in changes]),)
 
 
 def send_batch(context: StepContext, partition: str) -> None:
-    """Send the flight to those backups that have not confirmed it and are not being asked."""
+    """Send the batch to the backups that have neither confirmed it nor a message to answer."""
     copy = context.copy(partition)
     batch = copy.batch
-    to = tuple(b for b in batch.awaiting if b not in batch.in_flight)
-    context.put(copy._replace(batch=batch._replace(sent_at=context.now, in_flight=batch.in_flight + to)))
-    for backup in to:
+    backups = tuple(b for b in batch.awaiting if b not in batch.in_flight)
+    context.put(copy._replace(batch=batch._replace(sent_at=context.now, in_flight=batch.in_flight + backups)))
+    for backup in backups:
         context.effects.append(
             Ask(
                 backup,
@@ -679,20 +684,20 @@
 
 
 def finish_batch(context: StepContext, partition: str) -> None:
-    """A flight that is synced here and confirmed by every backup has its returns sent."""
+    """Answer the commands of the batch if it is synced here and confirmed by every backup."""
     copy = context.copy(partition)
     batch = copy.batch
     if not batch or not batch.synced or batch.awaiting:
         return
-    for item in batch.commands:
-        context.effects.append(Done(item.tag, item.reply))
+    for pending in batch.commands:
+        context.effects.append(Done(pending.tag, pending.reply))
     context.put(copy._replace(batch=None))
     continue_reconfiguration(context, partition)
     start_batch(context, partition)
 
 
 def handle_message(context: StepContext, event: Told) -> None:
-    """A message from another member."""
+    """Handle a message from another member."""
     message = event.message
     partition, kind = message['part'], message['k']
     copy = context.copy(partition)
@@ -731,16 +736,18 @@
             receive_refill(context, copy, event)
             return
         changes = decode_changes(message['changes'])
-        new = tuple(c for c in changes if c[0] > copy.seq)
+        new_changes = tuple(c for c in changes if c[0] > copy.seq)
         if not changes:
             context.put(copy)
             context.effects.append(Return(event.call, {'ok': True}))
             return
-        rows = apply_log(copy.rows, new)
-        log = extend_log(copy.log, new) if not copy.reconfiguration else copy.log + new
+        rows = apply_log(copy.rows, new_changes)
+        log = extend_log(copy.log, new_changes) if not copy.reconfiguration else copy.log + new_changes
         copy = context.put(copy._replace(rows=rows, seq=max(copy.seq, changes[-1][0]), log=log))
         context.save(
-            copy, batch_writes(partition, new) if new else (), ('g', partition, 0, 'told', event.call)
+            copy,
+            batch_writes(partition, new_changes) if new_changes else (),
+            ('g', partition, 0, 'told', event.call),
         )
         continue_reconfiguration(context, partition)
     elif kind == 'fill':
@@ -749,28 +756,34 @@
         if has_caught_up(copy, message):
             context.save(copy, (), ('g', partition, 0, 'told', event.call))
             return
-        known = (
+        is_current_fill = (
             copy is not None
             and copy.joining_epoch == message['epoch']
             and copy.fill_id == tuple(message['source'])
         )
-        if not known or not copy.full or copy.seq < message['first']:
+        if not is_current_fill or not copy.full or copy.seq < message['first']:
             context.effects.append(Return(event.call, {'ok': False, 'no': 'absent'}))
             return
         copy = copy._replace(caught_up=message['complete'])
         changes = decode_changes(message['changes'])
-        new = tuple(c for c in changes if c[0] > copy.seq)
-        rows = apply_log(copy.rows, new)
+        new_changes = tuple(c for c in changes if c[0] > copy.seq)
+        rows = apply_log(copy.rows, new_changes)
         copy = context.put(
-            copy._replace(rows=rows, seq=max([copy.seq] + [n for n, _ in new]), log=extend_log(copy.log, new))
+            copy._replace(
+                rows=rows,
+                seq=max([copy.seq] + [n for n, _ in new_changes]),
+                log=extend_log(copy.log, new_changes),
+            )
         )
         context.save(
-            copy, batch_writes(partition, new) if new else (), ('g', partition, 0, 'told', event.call)
+            copy,
+            batch_writes(partition, new_changes) if new_changes else (),
+            ('g', partition, 0, 'told', event.call),
         )
 
 
 def has_caught_up(copy: Copy | None, message: dict) -> bool:
-    """Whether this copy has all that it needs for the epoch of a move: nothing of that move changes it.
+    """Return whether this copy is complete for the epoch of a reconfiguration; no message of it changes the copy then.
 
     >>> has_caught_up(Copy('p', full=True, joining_epoch=2, caught_up=True), {'epoch': 2})
     True
@@ -779,8 +792,8 @@
 
 
 def receive_fill(context: StepContext, event: Told, copy: Copy | None) -> None:
-    """As joiner, take one piece of an image. The first piece of a new one empties the copy; a piece that
-    has come before changes nothing."""
+    """As joiner, store one piece of a snapshot. The first piece of a new fill clears the copy; a repeated piece
+    changes nothing."""
     message = event.message
     partition, base, epoch, fill_id = (
         message['part'],
@@ -794,9 +807,9 @@
         replica_set = list(copy.replica_set) if copy.replica_set else None
         context.effects.append(Return(event.call, {'ok': False, 'no': 'epoch', 'seat': replica_set}))
         return
-    current = copy is not None and copy.joining_epoch == epoch and copy.fill_id == fill_id
+    is_current_fill = copy is not None and copy.joining_epoch == epoch and copy.fill_id == fill_id
     if has_caught_up(copy, message) or (
-        current and message['at'] + len(message['rows']) <= copy.rows_received
+        is_current_fill and message['at'] + len(message['rows']) <= copy.rows_received
     ):
         context.save(copy, (), ('g', partition, 0, 'told', event.call))
         return
@@ -815,7 +828,7 @@
             rows_received=0,
         )
         clear: tuple = (Put(partition, None, None),)
-    elif not current or message['at'] != copy.rows_received:
+    elif not is_current_fill or message['at'] != copy.rows_received:
         context.effects.append(Return(event.call, {'ok': False, 'no': 'absent'}))
         return
     else:
@@ -834,7 +847,7 @@
 
 
 def handle_reply(context: StepContext, event: Heard) -> None:
-    """A return, or its absence, to something this member asked."""
+    """Handle the reply to a message that this member sent, or the lack of one."""
     _, partition, session, kind, number = event.tag
     copy = context.copy(partition)
     reply = event.ret
@@ -850,9 +863,9 @@
         handle_transfer_reply(context, partition, kind, backup, reply)
         return
     is_current = kind == 'frame' and copy.batch is not None and copy.batch.number == number[0]
-    if is_current:  # whatever it says, nothing is under way to it now
-        left = tuple(b for b in copy.batch.in_flight if b != backup)
-        copy = context.put(copy._replace(batch=copy.batch._replace(in_flight=left)))
+    if is_current:  # whatever the reply is, the message is answered
+        in_flight = tuple(b for b in copy.batch.in_flight if b != backup)
+        copy = context.put(copy._replace(batch=copy.batch._replace(in_flight=in_flight)))
     if reply is None or 'fault' in reply:
         return
     if not reply['ok']:
@@ -872,44 +885,52 @@
         )
         synchronize_backups(context, partition)
     elif is_current:
-        want = tuple(b for b in copy.batch.awaiting if b != backup)
-        context.put(copy._replace(batch=copy.batch._replace(awaiting=want)))
+        awaiting = tuple(b for b in copy.batch.awaiting if b != backup)
+        context.put(copy._replace(batch=copy.batch._replace(awaiting=awaiting)))
         finish_batch(context, partition)
 
 
 def synchronize_backups(context: StepContext, partition: str) -> None:
-    """Every backup has said where it stands, on its disk: take what any of them has more, sync all that is
-    held here, send what one has less. What a log no longer holds comes as rows."""
+    """Once every backup has reported its position, which is on its disk: take over the changes of the one that is
+    furthest ahead, sync all that is held here, send the changes that others lack, then serve. Where a log does
+    not reach back far enough, all rows are transferred."""
     copy = context.copy(partition)
     if copy.ready or copy.transfer or any(b not in copy.backup_positions for b in copy.replica_set.backups):
         return
     ahead = max(copy.backup_positions, key=lambda b: copy.backup_positions[b][0], default=None)
     if ahead is not None and copy.backup_positions[ahead][0] > copy.seq:
         seq, log = copy.backup_positions[ahead]
-        new = tuple(c for c in log if c[0] > copy.seq)
-        if not is_contiguous(copy.seq, new):
+        new_changes = tuple(c for c in log if c[0] > copy.seq)
+        if not is_contiguous(copy.seq, new_changes):
             start_pull(context, copy, ahead, seq)
             return
-        rows = apply_log(copy.rows, new)
-        copy = copy._replace(rows=rows, seq=seq, log=extend_log(copy.log, new))
-        sync_before_serving(context, copy, batch_writes(partition, new))
+        rows = apply_log(copy.rows, new_changes)
+        copy = copy._replace(rows=rows, seq=seq, log=extend_log(copy.log, new_changes))
+        sync_before_serving(context, copy, batch_writes(partition, new_changes))
         return
     if copy.synced_session != copy.session:
         if copy.syncing_session != copy.session:
             sync_before_serving(context, copy)
         return
     behind = min(copy.backup_positions, key=lambda b: copy.backup_positions[b][0], default=None)
-    least = copy.backup_positions[behind][0] if behind is not None else copy.seq
-    if least < (copy.batch.base_seq if copy.batch else copy.seq):
-        new = tuple(c for c in copy.log if c[0] > least)
-        if copy.batch or not is_contiguous(least, new):
+    lowest_seq = copy.backup_positions[behind][0] if behind is not None else copy.seq
+    if lowest_seq < (copy.batch.base_seq if copy.batch else copy.seq):
+        new_changes = tuple(c for c in copy.log if c[0] > lowest_seq)
+        if copy.batch or not is_contiguous(lowest_seq, new_changes):
             start_refill(context, copy, behind)
             return
         copy = copy._replace(
-            batch=Batch(context.next_number(), least, new, (), synced=True, awaiting=copy.replica_set.backups)
+            batch=Batch(
+                context.next_number(),
+                lowest_seq,
+                new_changes,
+                (),
+                synced=True,
+                awaiting=copy.replica_set.backups,
+            )
         )
     copy = context.put(copy._replace(ready=True))
-    if copy.batch:  # what was under way is of an older session
+    if copy.batch:  # its earlier messages belong to an older session
         context.put(copy._replace(batch=copy.batch._replace(in_flight=())))
         send_batch(context, partition)
     else:
@@ -917,7 +938,7 @@
 
 
 def is_contiguous(seq: int, changes: tuple) -> bool:
-    """Whether these changes go on where a copy stands, with none missing between.
+    """Return whether these changes follow directly on a sequence number, with none missing between.
 
     >>> is_contiguous(4, ((5, ()), (6, ()))), is_contiguous(4, ((6, ()),)), is_contiguous(4, ())
     (True, False, False)
@@ -926,23 +947,23 @@
 
 
 def sync_before_serving(context: StepContext, copy: Copy, puts: tuple = ()) -> None:
-    """Sync what this primary holds before it serves: a flight that changes nothing returns with its backups'
-    word alone, and may show what an earlier write, still on its way to the disk here, has changed."""
+    """Sync what this primary holds before it serves: a batch without changes is finished by the confirmations of the
+    backups alone, and its reads may show changes of an earlier write that is not synced here yet."""
     copy = context.put(copy._replace(syncing_session=copy.session))
     context.save(copy, puts, ('g', copy.partition, copy.session, 'met', 0))
 
 
 def reply_to_hello(context: StepContext, copy: Copy, event: Told) -> None:
-    """As backup, tell a primary where this copy stands, once it stands there on disk."""
+    """As backup, report the position of this copy to the primary, once it is synced."""
     message = event.message
     copy = context.put(copy._replace(session=message['session'], transfer=None))
-    more = [[n, c] for n, c in copy.log if n > message['seq']]
-    reply = {'ok': True, 'seq': copy.seq, 'tail': more}
+    missing = [[n, c] for n, c in copy.log if n > message['seq']]
+    reply = {'ok': True, 'seq': copy.seq, 'tail': missing}
     context.save(copy, (), ('g', copy.partition, 0, 'stands', (event.call, reply)))
 
 
 def start_pull(context: StepContext, copy: Copy, ahead: str, seq: int) -> None:
-    """As primary, ask a backup that is ahead, and has no log of that, for its rows."""
+    """As primary, fetch the rows of a backup that is ahead and whose log does not reach back to this copy."""
     context.effects.append(
         Note('pull', {'part': copy.partition, 'mine': copy.seq, 'theirs': seq, 'of': ahead})
     )
@@ -951,6 +972,7 @@
 
 
 def request_piece(context: StepContext, partition: str, after_key: str) -> None:
+    """As primary, ask the backup for the rows after a key."""
     copy = context.copy(partition)
     request = {'k': 'pull', **primary_fields(copy), 'after': after_key}
     tag = ('g', partition, copy.session, 'pull', copy.transfer.peer)
@@ -958,8 +980,8 @@
 
 
 def pull_reply(copy: Copy, after_key: str) -> dict:
-    """The rows that come after a key, as much as a message should have. They stand still meanwhile: this
-    copy's primary waits for them.
+    """Return the reply with the rows after a key, up to the limits of a message. The rows don't change during the
+    transfer: this copy's primary waits for them.
 
     >>> copy = Copy('p', seq=9, rows=Map({'a': 1, 'b': 2}))
     >>> pull_reply(copy, 'a') == {'ok': True, 'seq': 9, 'rows': [['b', 2]], 'last': True}
@@ -972,7 +994,7 @@
 
 
 def start_refill(context: StepContext, copy: Copy, behind: str) -> None:
-    """As primary, send all rows to a backup that this copy's log no longer brings up."""
+    """As primary, send all rows to a backup that is too far behind for the log."""
     context.effects.append(Note('refill', {'part': copy.partition, 'mine': copy.seq, 'to': behind}))
     keys = tuple(sorted(copy.rows))
     context.put(copy._replace(transfer=Transfer(behind, copy.seq, copy.rows, keys)))
@@ -980,6 +1002,7 @@
 
 
 def send_refill_piece(context: StepContext, partition: str) -> None:
+    """As primary, send the next rows of a transfer."""
     copy = context.copy(partition)
     transfer = copy.transfer
     keys = next_piece(transfer)
@@ -1002,7 +1025,7 @@
 
 
 def receive_refill(context: StepContext, copy: Copy, event: Told) -> None:
-    """As backup, take a piece of the primary's rows; with the last one they replace the own ones."""
+    """As backup, take a piece of the primary's rows; the last piece replaces the copy's own rows."""
     message = event.message
     transfer = copy.transfer if message['at'] else Transfer(copy.replica_set.primary, message['seq'])
     if transfer is None or transfer.position != message['at'] or copy.seq > message['seq']:
@@ -1023,7 +1046,7 @@
 
 
 def with_rows_replaced(copy: Copy, transfer: Transfer) -> tuple[Copy, tuple]:
-    """A copy with other rows in place of its own, and the one write that does it on disk."""
+    """Return the copy with the transferred rows, and the one write that replaces them on disk."""
     puts = (Put(copy.partition, None, None),) + tuple(
         Put(copy.partition, k, v) for k, v in transfer.snapshot.items()
     )
@@ -1033,7 +1056,7 @@
 def handle_transfer_reply(
     context: StepContext, partition: str, kind: str, backup: str, reply: dict | None
 ) -> None:
-    """As primary, go on with a transfer; begin anew to agree if it broke off."""
+    """As primary, continue a transfer; synchronize anew if it failed."""
     copy = context.copy(partition)
     transfer = copy.transfer
     if transfer is None or transfer.peer != backup:
@@ -1065,7 +1088,7 @@
 
 
 def handle_write(context: StepContext, event: Wrote) -> None:
-    """Something this member wrote is synced."""
+    """Handle a write of this member that is synced."""
     _, partition, session, kind, number = event.tag
     copy = context.copy(partition)
     if kind == 'told':
@@ -1087,7 +1110,7 @@
 
 
 def start_reconfiguration(context: StepContext, event: StartReconfiguration) -> None:
-    """Begin to lead a move, unless one for the same seat is under way."""
+    """Start to lead a reconfiguration, unless one for the same or a later replica set is under way."""
     copy = context.copy(event.partition)
     if (
         copy is None
@@ -1099,7 +1122,7 @@
     if not copy.replica_set.includes(context.state.me):
         return
     if any(not copy.replica_set.includes(name) for name in event.replica_set.members if name != event.joiner):
-        return  # nobody would bring that one up
+        return  # a member that nobody would bring up
     if copy.reconfiguration and (
         copy.reconfiguration.replica_set == event.replica_set
         or copy.reconfiguration.replica_set.epoch > event.replica_set.epoch
@@ -1119,7 +1142,7 @@
 
 
 def continue_reconfiguration(context: StepContext, partition: str) -> None:
-    """Take a led move on by one message, if none is out."""
+    """Send the next message of the reconfiguration that this member leads, if none is unanswered."""
     copy = context.copy(partition)
     reconfiguration = copy.reconfiguration
     if not reconfiguration or reconfiguration.request_pending:
@@ -1144,10 +1167,10 @@
         }
         send_to_joiner(context, copy, reconfiguration, request, 'fill', reconfiguration.position)
     elif reconfiguration.stage in ('follow', 'last'):
-        new = tuple(c for c in copy.log if c[0] > reconfiguration.sent_seq)
-        if not is_member and (new or reconfiguration.stage == 'last'):
-            entries = new[:MAX_MESSAGE_ROWS]
-            complete = reconfiguration.stage == 'last' and len(entries) == len(new)
+        new_changes = tuple(c for c in copy.log if c[0] > reconfiguration.sent_seq)
+        if not is_member and (new_changes or reconfiguration.stage == 'last'):
+            entries = new_changes[:MAX_MESSAGE_ROWS]
+            complete = reconfiguration.stage == 'last' and len(entries) == len(new_changes)
             request = {
                 'k': 'follow',
                 **fields,
@@ -1168,7 +1191,7 @@
                 b in reconfiguration.replica_set.members for b in copy.batch.awaiting
             )
             if can_finish and copy.replica_set.primary == me and not is_batch_stalled(context, copy):
-                return  # let the flight land first
+                return  # the batch can still finish under this epoch
             copy = context.put(
                 copy._replace(
                     sealed=True, reconfiguration=reconfiguration._replace(stage='seal', request_pending=True)
@@ -1181,7 +1204,7 @@
 
 
 def next_piece(reconfiguration: Reconfiguration) -> tuple:
-    """The keys of the image's next piece: some rows, and no more bytes than a message should have.
+    """Return the keys of the next piece of a snapshot, up to the limits of a message in rows and bytes.
 
     >>> keys = tuple(f'k{n}' for n in range(3))
     >>> next_piece(Reconfiguration('c', None, 'fill', keys, Map({k: 'x' * MAX_MESSAGE_BYTES for k in keys}), 1))
@@ -1197,7 +1220,7 @@
 
 
 def encoded_size(value: Any) -> int:
-    """About how many bytes a row takes on the wire.
+    """Return about how many bytes a value takes on the wire.
 
     >>> encoded_size('abc'), encoded_size(['ab', 1]), encoded_size({'a': b'12'})
     (3, 11, 11)
@@ -1212,13 +1235,14 @@
 
 
 def is_batch_stalled(context: StepContext, copy: Copy) -> bool:
-    """Whether the flight cannot land: the backup has been silent since long before."""
+    """Return whether the batch cannot finish because a backup is silent."""
     return copy.last_confirmed is None or context.now - copy.last_confirmed > timedelta(milliseconds=900)
 
 
 def send_to_joiner(
     context: StepContext, copy: Copy, reconfiguration: Reconfiguration, request: dict, kind: str, number: Any
 ) -> None:
+    """Send the joiner a message of the reconfiguration, and remember that it is not answered yet."""
     context.put(
         copy._replace(reconfiguration=reconfiguration._replace(request_pending=True, sent_at=context.now))
     )
@@ -1235,15 +1259,14 @@
 def handle_joiner_reply(
     context: StepContext, partition: str, fill_id: tuple, reply: dict | None, number: Any
 ) -> None:
-    """The joiner has returned to a piece of the move."""
+    """Handle the joiner's reply to a message of the reconfiguration."""
     copy = context.copy(partition)
     reconfiguration = copy.reconfiguration
     if not reconfiguration or not reconfiguration.request_pending or reconfiguration.fill_id != fill_id:
         return
     if reply is None or 'fault' in reply:
-        context.put(
-            copy._replace(reconfiguration=reconfiguration._replace(request_pending=False))
-        )  # the tick sends it again
+        # the next tick sends it again
+        context.put(copy._replace(reconfiguration=reconfiguration._replace(request_pending=False)))
         return
     if not reply['ok']:
         context.effects.append(
@@ -1251,7 +1274,7 @@
         )
         if reconfiguration.stage in ('fill', 'follow'):
             context.put(copy._replace(reconfiguration=None))
-        else:  # sealed: begin again with the same joiner
+        else:  # sealed: start again with the same joiner
             context.put(
                 copy._replace(
                     reconfiguration=reconfiguration._replace(
@@ -1286,7 +1309,7 @@
 
 
 def tick_partition(context: StepContext, partition: str) -> None:
-    """Send again what got no return; beat when idle."""
+    """Send again what got no reply, and a heartbeat when idle."""
     copy = context.copy(partition)
     if copy.reconfiguration and not copy.reconfiguration.request_pending:
         if copy.reconfiguration.stage == 'propose':
@@ -1301,7 +1324,7 @@
         or copy.sealed
     ):
         return
-    if not copy.replica_set.backups:  # nobody to listen for
+    if not copy.replica_set.backups:  # no confirmation to wait for
         copy = context.put(copy._replace(last_confirmed=context.now))
     if not copy.ready:
         if copy.transfer is None:
--- a/src/quillstall/replication/register.py
+++ b/src/quillstall/replication/register.py
@@ -1,11 +1,9 @@
-"""Register: the newest generation of the policy as the stores keep it, so that the fleet serves on
-while no core can be reached.
-
-Each registered store has on its disk a word: the newest generation, whole, and the register it
-belongs to. A routing node that the core does not answer asks the registered stores; a majority's
-answers renew its lease, and the newest word among them is what it takes. The core acknowledges a
-generation only when a majority has it and each lease given under an older one is over. While the
-register changes, majorities of the old and of the new one are needed.
+"""The lease quorum: the newest generation of the policy as the stores keep it, for the time when no core can be reached.
+
+Each registered store keeps a record on its disk: the newest generation, whole, and the register, which is the list of stores
+that count. A routing node that the core does not answer asks the registered stores; the replies of a majority renew its lease,
+and it takes the newest record among them. The core acknowledges a generation only when a majority has it and every lease
+granted under an older one has expired. While the register changes, majorities of the old and of the new one are needed.
 """
 
 from collections.abc import Iterable
@@ -14,26 +12,26 @@
 
 DEFAULT_LEASE = timedelta(
     milliseconds=2500
-)  # unless settings say less; counted from when its holder asked for it
-GRANTED_LEASE_FACTOR = 1.02  # what its giver reckons with: clocks may drift apart by a hundredth
-ANY_NODE = '*'  # stands for whichever routing nodes a store may have renewed before its last start
+)  # unless the settings are shorter; counted from the holder's request
+GRANTED_LEASE_FACTOR = 1.02  # by which the grantor waits longer: clocks may differ in rate by one per cent
+ANY_NODE = '*'  # any routing node whose lease a store may have renewed before its last start
 EMPTY_REGISTER = {'number': 0, 'now': {}, 'old': {}}
 
 
 class QuorumRecord(NamedTuple):
-    """What one store knows: a generation, whole, and the register, by its number.
+    """What one store keeps for the lease quorum: a generation of the policy, and the quorum's members.
 
     >>> QuorumRecord().version
     (0, 0)
     """
 
     generation: int = 0
-    number: int = 0
+    number: int = 0  # the version of the members
     epoch: int = 0
     policy: dict | None = None
     leaving: tuple = ()
     members: dict = {}  # the registered stores: name -> address
-    previous_members: dict = {}  # those before, while both count
+    previous_members: dict = {}  # those before the change that is under way; empty otherwise
     routing_nodes: int = 1  # how many routing nodes there were
 
     @property
@@ -42,7 +40,7 @@
 
 
 def decode_record(row: Any) -> QuorumRecord:
-    """A word as it came from the disk or the wire.
+    """Return a record decoded from the disk or the wire.
 
     >>> decode_record(list(QuorumRecord(3, 1))) == QuorumRecord(3, 1), decode_record(None) == QuorumRecord()
     (True, True)
@@ -54,7 +52,7 @@
 
 
 def is_majority(names: Iterable[str], members: dict, previous: dict) -> bool:
-    """Whether these stores are a majority of each register that counts.
+    """Return whether these stores are a majority of the members, and of the previous ones while those count.
 
     >>> members, previous = {'a': '', 'b': '', 'd': ''}, {'a': '', 'b': '', 'c': ''}
     >>> is_majority(['a', 'b'], members, previous), is_majority(['a', 'd'], members, previous), is_majority([], {}, {})
@@ -65,9 +63,9 @@
 
 
 def intersects_majorities(names: Iterable[str], members: dict, previous: dict) -> bool:
-    """Whether every majority of each register that counts has one of these stores in it: what they all
-    know is found by whoever asks a majority. With an odd number of stores that is a majority; with an
-    even number half is enough, so that of two stores one may be lost.
+    """Return whether every majority includes one of these stores, so that whoever asks a majority finds what they all
+    know. With an odd number of members that takes a majority; with an even number half is enough, so that one
+    of two stores may be lost.
 
     >>> three, two = {'a': '', 'b': '', 'c': ''}, {'a': '', 'b': ''}
     >>> intersects_majorities(['a'], three, {}), intersects_majorities(['a', 'b'], three, {}), intersects_majorities(['a'], two, {}), intersects_majorities([], two, {})
@@ -78,7 +76,7 @@
 
 
 def with_update(record: QuorumRecord, update: dict) -> QuorumRecord:
-    """The word with the core's news laid over it; never an older one.
+    """Return the record with an update from the core applied. Nothing in it goes back to an older version.
 
     >>> record = with_update(QuorumRecord(2, 1), {'generation': 3, 'epoch': 1, 'policy': {}, 'leaving': []}); record.version
     (3, 1)
@@ -106,8 +104,8 @@
 
 
 def read_quorum(known: dict, records: dict[str, QuorumRecord]) -> tuple[dict, QuorumRecord | None]:
-    """From the words of the stores that answered: the register to go by, and the newest word if a
-    majority of that register has answered, else None. `known` is the register the asker had.
+    """Return the newest register that the records of the answering stores show, and the newest record, or None if no
+    majority of that register has answered. `known` is the register that the caller had.
 
     >>> known = {'number': 1, 'now': {'a': '', 'b': '', 'c': ''}, 'old': {}}
     >>> behind, newest = QuorumRecord(4, 1, members=known['now']), QuorumRecord(5, 1, members=known['now'])
--- a/src/quillstall/replication/rendezvous.py
+++ b/src/quillstall/replication/rendezvous.py
@@ -1,15 +1,15 @@
-"""Rendezvous hashing: which of many names serve a key, the same answer on every node."""
+"""Rendezvous hashing: every node computes the same ranking of names for a key."""
 
 from collections.abc import Iterable, Sequence
 from functools import lru_cache
 from hashlib import blake2b
 
-MAX_CACHED_SCORES = 4096  # the same few names are ranked over and over
+MAX_CACHED_SCORES = 4096  # the same few names are ranked again and again
 
 
 @lru_cache(maxsize=MAX_CACHED_SCORES)
 def score(key: str, name: str) -> int:
-    """How high `name` ranks for `key`.
+    """Return the weight of `name` for `key`.
 
     >>> score('a', 'n1') == score('a', 'n1') != score('a', 'n2')
     True
@@ -18,7 +18,7 @@
 
 
 def rank(key: str, names: Iterable[str]) -> list[str]:
-    """All names, the best for the key first.
+    """Return all names, the one with the highest score for the key first.
 
     >>> rank('k', ['a', 'b', 'c']) == rank('k', ['c', 'a', 'b'])
     True
@@ -27,7 +27,7 @@
 
 
 def rank_across_zones(key: str, zones: dict[str, str], first: Sequence[str] = ()) -> list[str]:
-    """Names ranked for a key so that the leading ones stand in different zones where they can.
+    """Return the names ranked for a key, spread over zones: each prefix covers as many zones as it can. Those in `first` lead.
 
     >>> zones = {'a': 'z1', 'b': 'z1', 'c': 'z2'}
     >>> order = rank_across_zones('k', zones); zones[order[0]] != zones[order[1]]
@@ -46,7 +46,7 @@
 
 
 def partition_of(key: str, partitions: int) -> str:
-    """The partition that a key lives in.
+    """Return the name of the partition that a key belongs to.
 
     >>> partition_of('program-1', 12) in [f'p{n:02d}' for n in range(12)]
     True
--- a/src/quillstall/replication/watch.py
+++ b/src/quillstall/replication/watch.py
@@ -1,4 +1,4 @@
-"""Watch: which of its few peers a node has not heard from. Pure; shared by routing nodes and stores."""
+"""Failure detection by pings: which of its watched peers a process has not heard from. Used by routing nodes and stores."""
 
 from datetime import datetime, timedelta
 from typing import NamedTuple
@@ -10,22 +10,22 @@
 
 
 class Watch(NamedTuple):
-    """The peers by name: where they are, and when each of the watched ones was last heard.
+    """The addresses of the peers, and when each of the watched ones last answered.
 
     >>> Watch().peers
     {}
     """
 
     peers: dict = {}
-    last_heard: Map = Map()  # the peers that are pinged; of the others' silence nothing is concluded
+    last_heard: Map = Map()  # the watched peers, which are pinged; nothing is concluded about the others
     pinged_at: datetime | None = None
-    silence: timedelta = DEFAULT_SILENCE  # it is pinged three times in that
-    suspect_after: timedelta | None = None  # so long silent, a peer is suspected; None: as long as `silent`
+    silence: timedelta = DEFAULT_SILENCE  # three pings are sent in this time
+    suspect_after: timedelta | None = None  # a peer is suspected after this silence; None: after `silence`
 
 
 def with_peers(watch: Watch, update: dict, now: datetime) -> Watch:
-    """The watch over the peers that the core's news has named; of them only the watched ones are pinged, and
-    a new one counts as heard now. A core of an earlier version names no watched ones: then all are.
+    """Return the watch with the peers of a core update. Only the watched ones are pinged; a new one counts as heard
+    from now. A core of an earlier version names no watched ones: then all are watched.
 
     >>> t = datetime(2026, 1, 1)
     >>> watch = with_peers(Watch(), {'peers': {'a': '1:1', 'b': '1:2'}, 'watched': ['a']}, t); suspects(watch, t), suspects(watch, t + timedelta(seconds=2))
@@ -39,7 +39,7 @@
 
 
 def due_pings(watch: Watch, now: datetime) -> tuple[Watch, list[tuple[str, str]]]:
-    """The peers to ping now, if it is time.
+    """Return the watch, and the names and addresses to ping now: none before the next ping is due.
 
     >>> t = datetime(2026, 1, 1)
     >>> watch, pings = due_pings(with_peers(Watch(), {'peers': {'a': '1:1', 'b': '1:2'}, 'watched': ['a']}, t), t); pings, due_pings(watch, t)[1]
@@ -51,7 +51,7 @@
 
 
 def record_ping(watch: Watch, name: str, reply: dict | None, now: datetime) -> Watch:
-    """A ping came back, if it was this peer that answered.
+    """Return the watch after the reply to a ping. It counts only if this peer itself answered.
 
     >>> t = datetime(2026, 1, 1)
     >>> watch = with_peers(Watch(), {'peers': {'a': '1:1'}}, t)
@@ -64,6 +64,6 @@
 
 
 def suspects(watch: Watch, now: datetime) -> list[str]:
-    """The peers that have been silent too long: `suspects(watch, now)`."""
+    """Return the names of the peers that have been silent for too long: `suspects(watch, now)`."""
     limit = watch.silence if watch.suspect_after is None else watch.suspect_after
     return sorted(name for name, at in watch.last_heard.items() if now - at > limit)
