--- a/features/steps/failures.py
+++ b/features/steps/failures.py
@@ -90,7 +90,9 @@
 def took_over(context):
     second, led, seats = context.ring
     assert led == [True, True], (led, seats)
-    assert seats[0] == seats[1] and seats[0].base == 1 and seats[0].primary.startswith(second), seats
+    assert seats[0] == seats[1] and seats[0].previous_epoch == 1 and seats[0].primary.startswith(second), (
+        seats
+    )
 
 
 @when("the core's primary freezes, another takes over, and the first wakes and is asked at once")
--- a/features/steps/invariants.py
+++ b/features/steps/invariants.py
@@ -199,7 +199,7 @@
 
 @when('a copy of a partition is put back by two changes')
 def copy_back(context):
-    copy = Copy('p', ReplicaSet(2, 1, 'a', 'b'), seq=7, full=True)
+    copy = Copy('p', ReplicaSet(2, 1, 'a', 'b'), seq=7, has_all_rows=True)
     box = group.StepContext(group.State('a', Map({'p': copy})), NOW, None)
     box.put(copy._replace(seq=5))
     context.effects = box.effects
@@ -213,7 +213,7 @@
     missing = names[members:]
     rows = {f'member/{n}': {'state': 'replaced' if n in missing[:lost] else 'in'} for n in names}
     rows['part/p00'] = (1, 0, *names)
-    copy = Copy('core', ReplicaSet(1, 0, 'c1'), full=True, ready=True, rows=Map(rows))
+    copy = Copy('core', ReplicaSet(1, 0, 'c1'), has_all_rows=True, ready=True, rows=Map(rows))
     state = core_state.Core(
         'c1', '1:1', 'z', (), group.State('c1', Map({'core': copy})), losses=copies - 1, lone=True
     )
@@ -228,7 +228,7 @@
 
 @when('a core that has acknowledged generation {acked:d} shows generation {shown:d}')
 def shows_older(context, acked, shown):
-    copy = Copy('core', ReplicaSet(1, 0, 'c1'), full=True, ready=True, rows=Map({'gen': shown}))
+    copy = Copy('core', ReplicaSet(1, 0, 'c1'), has_all_rows=True, ready=True, rows=Map({'gen': shown}))
     fleet = {'id': 'f', 'witnesses': (('c1', '1:1'),), 'epoch': 1, 'seat': [1, 0, 'c1']}
     state = core_state.Core(
         'c1',
--- a/src/quillstall/controlplane/core.py
+++ b/src/quillstall/controlplane/core.py
@@ -130,7 +130,7 @@
 
 def ballots(state: Core, event: Heard, now: datetime, out: list) -> Core:
     copy = copy_of(state)
-    own = copy.replica_set if copy and copy.full else None
+    own = copy.replica_set if copy and copy.has_all_rows else None
     ret = event.ret or {}
     if (
         ret.get('seat')
--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -268,7 +268,11 @@
     """Whether this process is the ready primary: `primary(state)`."""
     copy = copy_of(state)
     return bool(
-        copy and copy.replica_set and copy.full and copy.ready and copy.replica_set.primary == state.me
+        copy
+        and copy.replica_set
+        and copy.has_all_rows
+        and copy.ready
+        and copy.replica_set.primary == state.me
     )
 
 
--- a/src/quillstall/controlplane/membership.py
+++ b/src/quillstall/controlplane/membership.py
@@ -119,7 +119,12 @@
 def stand(state: Core, now: datetime, out: list) -> Core:
     """Stand for the primacy if the other seated member has been silent."""
     copy = copy_of(state)
-    if copy is None or copy.replica_set is None or not copy.full or not copy.replica_set.includes(state.me):
+    if (
+        copy is None
+        or copy.replica_set is None
+        or not copy.has_all_rows
+        or not copy.replica_set.includes(state.me)
+    ):
         return state
     if state.run.stage != 'idle' or copy.last_confirmed is None or state.me not in dict(crew_next(state)):
         return state
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -231,7 +231,7 @@
             p: {
                 'seat': list(c.replica_set) if c.replica_set else None,
                 'seq': c.seq,
-                'full': c.full,
+                'full': c.has_all_rows,
                 'sealed': c.sealed,
                 'ready': c.ready,
                 'rows': len(c.rows),
@@ -359,7 +359,7 @@
     """Note since when a part has not been served."""
     since = state.since
     for part, copy in state.copies.partitions.items():
-        mine = copy.replica_set is not None and copy.replica_set.primary == state.me and copy.full
+        mine = copy.replica_set is not None and copy.replica_set.primary == state.me and copy.has_all_rows
         well = (
             copy.ready
             and not copy.sealed
@@ -507,7 +507,7 @@
 
     >>> from datetime import UTC
     >>> t, out = datetime(2026, 1, 1, tzinfo=UTC), []
-    >>> copies = group.State('s1', Map({'p': group.Copy('p', ReplicaSet(1, 0, 's1'), full=True)}))
+    >>> copies = group.State('s1', Map({'p': group.Copy('p', ReplicaSet(1, 0, 's1'), has_all_rows=True)}))
     >>> s = last_word(Store('s1', 'a:1', 'z', 1, ('c:1',), copies, core=('c:1',)), t, out)
     >>> out[0].message['stuck'], len(out), poll(s, t, out).poll == s.poll
     ([['p', 1, []]], 1, True)
--- a/src/quillstall/replication/group.py
+++ b/src/quillstall/replication/group.py
@@ -67,15 +67,15 @@
 
     __slots__ = ()
 
-    def __new__(cls, epoch: int, base: int, primary: str, *backups: str) -> 'ReplicaSet':
-        return tuple.__new__(cls, (epoch, base, primary, *backups))
+    def __new__(cls, epoch: int, previous_epoch: int, primary: str, *backups: str) -> 'ReplicaSet':
+        return tuple.__new__(cls, (epoch, previous_epoch, primary, *backups))
 
     @property
     def epoch(self) -> int:
         return self[0]
 
     @property
-    def base(self) -> int:
+    def previous_epoch(self) -> int:
         return self[1]
 
     @property
@@ -179,7 +179,7 @@
     replica_set: ReplicaSet | None = None
     seq: int = 0  # the sequence number of the last change in its rows
     sealed: bool = False  # it confirms nothing under its epoch any more
-    full: bool = False  # it holds all rows up to `seq`, not a part of a snapshot
+    has_all_rows: bool = False  # it holds all rows up to `seq`, not a part of a snapshot
     joining_epoch: int = 0  # as joiner: the epoch that it is being brought up for
     rows: Map = Map()
     log: tuple = ()  # the latest changes, with their sequence numbers
@@ -209,7 +209,7 @@
 
     me: str
     partitions: Map = Map()
-    count: int = 1
+    last_number: int = 1  # the last number given to a session, batch or fill
     heartbeats: bool = False
 
 
@@ -258,8 +258,9 @@
     partition: str
 
 
-def load(me: str, rows: dict[str, dict], count: int, heartbeats: bool = False) -> State:
-    """Return the state after a start, from the stored rows. `count` keeps this run's session numbers apart from earlier ones.
+def load(me: str, rows: dict[str, dict], last_number: int, heartbeats: bool = False) -> State:
+    """Return the state after a start, from the stored rows. The numbers of this run begin after `last_number`, and
+    so differ from those of earlier runs.
 
     >>> s = load('a', {'p00': {'#mark': [[3, 2, 'a', 'b'], 7, False, True, 0], 'x': 1}}, 5)
     >>> s.partitions['p00'].replica_set.epoch, s.partitions['p00'].rows['x'], s.partitions['p00'].ready
@@ -270,7 +271,7 @@
         marker = stored.get('#mark')
         if marker is None:
             continue
-        replica_set, seq, sealed, full, joining_epoch, *caught_up = marker
+        replica_set, seq, sealed, has_all_rows, joining_epoch, *caught_up = marker
         log = decode_changes(stored.get('#last') or ())
         table = Map({k: v for k, v in stored.items() if not k.startswith('#')})
         partitions = partitions.set(
@@ -280,14 +281,14 @@
                 ReplicaSet(*replica_set) if replica_set else None,
                 seq,
                 sealed,
-                full,
+                has_all_rows,
                 joining_epoch,
                 table,
                 log,
                 caught_up=bool(caught_up and caught_up[0]),
             ),
         )
-    return State(me, partitions, count, heartbeats)
+    return State(me, partitions, last_number, heartbeats)
 
 
 def metadata_row(copy: Copy) -> Put:
@@ -300,7 +301,7 @@
     return Put(
         copy.partition,
         '#mark',
-        [replica_set, copy.seq, copy.sealed, copy.full, copy.joining_epoch, copy.caught_up],
+        [replica_set, copy.seq, copy.sealed, copy.has_all_rows, copy.joining_epoch, copy.caught_up],
     )
 
 
@@ -356,14 +357,14 @@
     it has everything. So a member that missed a grant, and was not brought up since, was a member of that set too;
     nothing was acknowledged there without its confirmation, and it lacks nothing.
 
-    >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), full=True)
+    >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), has_all_rows=True)
     >>> is_eligible('a', old, ReplicaSet(3, 2, 'a', 'c')), is_eligible('a', old, ReplicaSet(4, 3, 'a', 'c')), is_eligible('a', old, ReplicaSet(3, 1, 'a', 'c'))
     (True, True, False)
-    >>> is_eligible('c', Copy('p', full=True, joining_epoch=2, caught_up=True), ReplicaSet(3, 2, 'c', 'a'))
+    >>> is_eligible('c', Copy('p', has_all_rows=True, joining_epoch=2, caught_up=True), ReplicaSet(3, 2, 'c', 'a'))
     True
-    >>> is_eligible('c', Copy('p', full=True, joining_epoch=2), ReplicaSet(2, 1, 'a', 'c'))
+    >>> is_eligible('c', Copy('p', has_all_rows=True, joining_epoch=2), ReplicaSet(2, 1, 'a', 'c'))
     False
-    >>> is_eligible('c', Copy('p', full=True, joining_epoch=2, caught_up=True), ReplicaSet(2, 1, 'a', 'c'))
+    >>> is_eligible('c', Copy('p', has_all_rows=True, joining_epoch=2, caught_up=True), ReplicaSet(2, 1, 'a', 'c'))
     True
     >>> is_eligible('a', None, ReplicaSet(1, 0, 'a', 'b'))
     True
@@ -371,17 +372,17 @@
     if not replica_set.includes(me):
         return False
     if copy is None or (copy.replica_set is None and copy.joining_epoch == 0):
-        return replica_set.base == 0
-    if not copy.full:
+        return replica_set.previous_epoch == 0
+    if not copy.has_all_rows:
         return False
     if copy.joining_epoch == replica_set.epoch:
         return copy.caught_up
     if copy.caught_up:
-        return copy.joining_epoch <= replica_set.base
+        return copy.joining_epoch <= replica_set.previous_epoch
     return (
         copy.joining_epoch == 0
         and copy.replica_set is not None
-        and copy.replica_set.epoch <= replica_set.base
+        and copy.replica_set.epoch <= replica_set.previous_epoch
     )
 
 
@@ -458,15 +459,15 @@
 
     def next_number(self) -> int:
         """Return a number that no session, batch or fill of this member has had."""
-        self.state = self.state._replace(count=self.state.count + 1)
-        return self.state.count
+        self.state = self.state._replace(last_number=self.state.last_number + 1)
+        return self.state.last_number
 
 
 def regresses(before: Copy, after: Copy) -> bool:
     """Return whether a copy goes back to an earlier epoch, loses changes within one, or has two replica sets in one.
     A copy that is brought up for a later epoch may replace its rows.
 
-    >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), seq=7, full=True)
+    >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), seq=7, has_all_rows=True)
     >>> regresses(old, old._replace(seq=8)), regresses(old, old._replace(seq=6))
     (False, True)
     >>> regresses(old, old._replace(replica_set=ReplicaSet(1, 0, 'a', 'b'))), regresses(old, old._replace(replica_set=ReplicaSet(2, 1, 'a', 'c')))
@@ -476,7 +477,7 @@
     """
     if after.replica_set is not before.replica_set and after.replica_set != before.replica_set:
         return after.replica_set is None or after.replica_set.epoch <= before.replica_set.epoch
-    return after.joining_epoch == 0 and before.full and after.full and after.seq < before.seq
+    return after.joining_epoch == 0 and before.has_all_rows and after.has_all_rows and after.seq < before.seq
 
 
 def moved_fault(copy: Copy | None) -> dict:
@@ -511,7 +512,7 @@
         copy = copy._replace(
             replica_set=replica_set,
             sealed=False,
-            full=True,
+            has_all_rows=True,
             joining_epoch=0,
             caught_up=False,
             fill_id=(),
@@ -540,10 +541,10 @@
         )
         if replica_set.primary == me:
             send_hello(context, partition)
-    elif copy and copy.full and copy.joining_epoch == 0 and copy.replica_set:
+    elif copy and copy.has_all_rows and copy.joining_epoch == 0 and copy.replica_set:
         copy = reject_pending(context, copy)
         copy = copy._replace(
-            replica_set=replica_set, full=False, rows=Map(), log=(), reconfiguration=None, sealed=True
+            replica_set=replica_set, has_all_rows=False, rows=Map(), log=(), reconfiguration=None, sealed=True
         )
         context.put(copy)
         context.effects.append(
@@ -707,7 +708,7 @@
             apply_grant(context, partition, replica_set)
             copy = context.copy(partition)
         refusal = ''
-        if copy is None or copy.replica_set is None or not copy.full:
+        if copy is None or copy.replica_set is None or not copy.has_all_rows:
             refusal = 'absent'
         elif copy.replica_set.epoch > replica_set.epoch:
             refusal = 'epoch'
@@ -761,7 +762,7 @@
             and copy.joining_epoch == message['epoch']
             and copy.fill_id == tuple(message['source'])
         )
-        if not is_current_fill or not copy.full or copy.seq < message['first']:
+        if not is_current_fill or not copy.has_all_rows or copy.seq < message['first']:
             context.effects.append(Return(event.call, {'ok': False, 'no': 'absent'}))
             return
         copy = copy._replace(caught_up=message['complete'])
@@ -785,7 +786,7 @@
 def has_caught_up(copy: Copy | None, message: dict) -> bool:
     """Return whether this copy is complete for the epoch of a reconfiguration; no message of it changes the copy then.
 
-    >>> has_caught_up(Copy('p', full=True, joining_epoch=2, caught_up=True), {'epoch': 2})
+    >>> has_caught_up(Copy('p', has_all_rows=True, joining_epoch=2, caught_up=True), {'epoch': 2})
     True
     """
     return copy is not None and copy.caught_up and copy.joining_epoch == message['epoch']
@@ -795,15 +796,21 @@
     """As joiner, store one piece of a snapshot. The first piece of a new fill clears the copy; a repeated piece
     changes nothing."""
     message = event.message
-    partition, base, epoch, fill_id = (
+    partition, previous_epoch, epoch, fill_id = (
         message['part'],
         message['base'],
         message['epoch'],
         tuple(message['source']),
     )
     known_epoch = copy.replica_set.epoch if copy and copy.replica_set else 0
-    is_member = bool(copy and copy.replica_set and copy.replica_set.includes(context.state.me) and copy.full)
-    if known_epoch > base or (known_epoch == base and is_member) or (copy and copy.joining_epoch > epoch):
+    is_member = bool(
+        copy and copy.replica_set and copy.replica_set.includes(context.state.me) and copy.has_all_rows
+    )
+    if (
+        known_epoch > previous_epoch
+        or (known_epoch == previous_epoch and is_member)
+        or (copy and copy.joining_epoch > epoch)
+    ):
         replica_set = list(copy.replica_set) if copy.replica_set else None
         context.effects.append(Return(event.call, {'ok': False, 'no': 'epoch', 'seat': replica_set}))
         return
@@ -818,7 +825,7 @@
         copy = copy._replace(
             rows=Map(),
             log=(),
-            full=False,
+            has_all_rows=False,
             joining_epoch=epoch,
             seq=0,
             sealed=False,
@@ -837,7 +844,7 @@
         rows=apply_changes(copy.rows, message['rows']), rows_received=message['at'] + len(message['rows'])
     )
     if message['last']:
-        copy = copy._replace(full=True, seq=message['seq'])
+        copy = copy._replace(has_all_rows=True, seq=message['seq'])
     context.put(copy)
     context.save(
         copy,
@@ -1115,8 +1122,8 @@
     if (
         copy is None
         or copy.replica_set is None
-        or not copy.full
-        or copy.replica_set.epoch != event.replica_set.base
+        or not copy.has_all_rows
+        or copy.replica_set.epoch != event.replica_set.previous_epoch
     ):
         return
     if not copy.replica_set.includes(context.state.me):
@@ -1320,7 +1327,7 @@
     if (
         copy.replica_set is None
         or copy.replica_set.primary != context.state.me
-        or not copy.full
+        or not copy.has_all_rows
         or copy.sealed
     ):
         return
--- a/src/quillstall/testbed/model/breaks.py
+++ b/src/quillstall/testbed/model/breaks.py
@@ -171,7 +171,7 @@
     def fill(context: StepContext, event: Told, copy: Copy | None) -> None:
         real(context, event, copy)
         now = context.copy(event.message['part'])
-        if copy and copy.rows and now.full:
+        if copy and copy.rows and now.has_all_rows:
             context.put(now._replace(rows=copy.rows))
             puts = tuple(group.Put(copy.partition, key, value) for key, value in copy.rows.items())
             context.effects[-1] = context.effects[-1]._replace(puts=context.effects[-1].puts + puts)
--- a/src/quillstall/testbed/model/invariants.py
+++ b/src/quillstall/testbed/model/invariants.py
@@ -137,7 +137,7 @@
     """Whether a member's disk alone would bring back what clients were told, in the replica set in force."""
     part = host_of(world.setup).part
     copy = group.load(name, world.members[name].disk, 0).partitions.get(part)
-    if copy is None or not copy.full:
+    if copy is None or not copy.has_all_rows:
         return False
     if copy.replica_set != world.seat and not group.is_eligible(name, copy, world.seat):
         return False
