--- a/features/steps/catching_up.py
+++ b/features/steps/catching_up.py
@@ -1,4 +1,4 @@
-"""Steps over the state machine of replicated partitions: members, the messages between them, and their disks."""
+"""Steps over the state machine of replicated partitions: its members, their messages and their disks."""
 
 from datetime import UTC, datetime, timedelta
 
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -14,7 +14,7 @@
 
 
 def simulated_town(world, name, stores, cores, losses):
-    """Return a simulated deployment with more stores, set to tolerate `losses`, and how many cores it shall have."""
+    """Return a simulated deployment that tolerates `losses`, and how many cores it shall have."""
     deploy = DEPLOYS[name]()
     deploy = deploy._replace(machines=machines('10.0', 7000, 4, stores))
     town = Town(world, deploy)
@@ -37,7 +37,7 @@
 
 
 def summary(status):
-    """Return the parts of a status that tell which copies are missing."""
+    """Return what a status says of the copies."""
     return status and (status.get('seat'), status.get('core'), status.get('parts'))
 
 
--- a/features/steps/register.py
+++ b/features/steps/register.py
@@ -1,4 +1,4 @@
-"""Steps on network partitions between the core, the stores and one routing node that the lease quorum must tolerate."""
+"""Steps on network partitions between the core, the stores and one routing node, for the lease quorum."""
 
 from datetime import timedelta
 
@@ -18,8 +18,8 @@
 
 
 async def change(town):
-    """Make a change as an operator. Return its outcome, how long it took, and the routing nodes that could still send under
-    the old generation."""
+    """Make a change as an operator. Return its outcome, how long it took, and the routing nodes that could
+    still send under the old generation."""
     start = town.world.now()
     status, body = await town.ask(
         'PATCH', '/v1/policy', {'keeping_s': 321}, {'X-Request-Id': 'change'}, limit=13
@@ -38,7 +38,7 @@
 
 
 def change_during(context, seed, cuts, wait=5.0):
-    """Play a change of the policy some time after links were cut; with a longer wait, just after a renewal."""
+    """Play a change of the policy after links were cut; with a longer wait, just after a renewal."""
 
     async def script(town):
         for startup in town.startups.values():
@@ -90,7 +90,7 @@
 
 
 async def just_renewed(town):
-    """Return a routing node that has just renewed its lease from the stores, and whether it had a lease before."""
+    """Return a routing node just after a renewal from the stores, and whether it had a lease before."""
     await town.open()
     isolate(town, NODE, ('store0', 'store1'))
     isolate(town, 'store1', (NODE,))
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -10,7 +10,7 @@
 from quillstall.replication import group, register, watch
 from quillstall.replication.group import Grant, Op, ReplicaSet, StartReconfiguration
 from quillstall.replication.register import DEFAULT_LEASE, QuorumRecord
-from quillstall.replication.watch import DEFAULT_SILENCE, Watch
+from quillstall.replication.watch import DEFAULT_SILENCE_LIMIT, Watch
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.disk import Put
 from quillstall.runtime.effect import Ask, Count, Done, Heard, Propose, Return, Tick, Told, Write, Wrote
@@ -66,7 +66,7 @@
     fails: int = 0
     http: str | None = None
     shy: Map = Map()  # cores that were silent lately, and until when to believe it
-    silent: timedelta = DEFAULT_SILENCE  # so long silent, a peer is given up
+    silent: timedelta = DEFAULT_SILENCE_LIMIT  # so long silent, a peer is given up
     blocked: bool = False  # its disk takes nothing: it has said so, and says nothing more
     wall_ahead: timedelta = timedelta(0)  # how far the wall clock is ahead of the steady one
     lease: timedelta = DEFAULT_LEASE
@@ -90,7 +90,7 @@
     word = register.decode_record(own.get('word'))
     # what it renewed before this start is forgotten: count any lease as renewed now
     renewed = Map({(register.ANY_NODE, 0): now}) if word.number else Map()
-    silent = of_ms(startup['silent_ms']) if 'silent_ms' in startup else DEFAULT_SILENCE
+    silent = of_ms(startup['silent_ms']) if 'silent_ms' in startup else DEFAULT_SILENCE_LIMIT
     return Store(
         me,
         startup['address'],
@@ -108,7 +108,7 @@
         word=word,
         renewed=renewed,
         silent=silent,
-        watch=Watch(silence=silent, suspect_after=silent * WATCH_PART),
+        watch=Watch(silence_limit=silent, suspect_after=silent * WATCH_PART),
         lease=of_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
     )
 
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -79,7 +79,9 @@
         self.core_at: str | None = None
         self.register = register.EMPTY_REGISTER
         self.lease = of_ms(ctx.startup['lease_ms']) if 'lease_ms' in ctx.startup else DEFAULT_LEASE
-        self.watch = Watch(silence=of_ms(ctx.startup['silent_ms'])) if 'silent_ms' in ctx.startup else Watch()
+        self.watch = (
+            Watch(silence_limit=of_ms(ctx.startup['silent_ms'])) if 'silent_ms' in ctx.startup else Watch()
+        )
         self.moves: asyncio.Future | None = None  # done when parts have moved
         self.duty = duty.Duty(ctx, self.name)
         self.alarm = asyncio.Event()
@@ -312,7 +314,7 @@
             self.watch, asks = watch.due_pings(self.watch, self.ctx.clock.now())
             for name, address in asks:
                 self.spawn(self.ping(name, address))
-            await self.ctx.clock.sleep(self.watch.silence / 3)
+            await self.ctx.clock.sleep(self.watch.silence_limit / 3)
 
     async def serve_duty(self) -> None:
         """While there are doubts, stand for the probe duty if it is vacant, and do it if it is ours."""
--- a/src/quillstall/replication/ballot.py
+++ b/src/quillstall/replication/ballot.py
@@ -1,11 +1,12 @@
 """Ballots that decide the replica set of the core's own partition, by a majority of its voters as in Paxos.
 
-Each voter is an acceptor. It stores, before it replies, the highest epoch it has promised, the last replica set it has
-accepted, and the epoch of the round in which it accepted it. A candidate first asks for ballots for a new epoch; the replies
-of a majority show the newest replica set that may have been granted. If that is the candidate's own, and it holds all its
-data, it brings a joiner up (a reconfiguration, see group.py) and then asks the majority to accept the new one. If it is a
-newer one, perhaps only a minority has accepted it: it counts as granted only after the candidate has had a majority accept it
-in this round. Any two majorities share an acceptor, so two rivals cannot both be granted, and no grant is missed.
+Each voter is an acceptor. It stores, before it replies, the highest epoch it has promised, the last replica
+set it has accepted, and the epoch of the round in which it accepted it. A candidate first asks for ballots
+for a new epoch; the replies of a majority show the newest replica set that may have been granted. If that
+is the candidate's own, and it holds all its data, it brings a joiner up (a reconfiguration, see group.py)
+and then asks the majority to accept the new one. If it is a newer one, perhaps only a minority has accepted
+it: it counts as granted only after the candidate has had a majority accept it in this round. Any two
+majorities share an acceptor, so two rivals cannot both be granted, and no grant is missed.
 """
 
 from collections.abc import Callable
@@ -86,7 +87,7 @@
 
 
 def is_majority(names: tuple, configurations: tuple) -> bool:
-    """Return whether these names are a majority of each configuration: of the old and of the new one while voters change.
+    """Return whether these names are a majority of each configuration: two of them while voters change.
 
     >>> old, new = (('a', ''), ('b', ''), ('c', '')), (('a', ''), ('b', ''), ('d', ''))
     >>> is_majority(('a', 'b'), (old, new)), is_majority(('a', 'c'), (old, new))
@@ -155,8 +156,8 @@
     voters: tuple | None = None,
     members: tuple | None = None,
 ) -> tuple[Campaign, tuple]:
-    """Ask every voter to promise the next epoch. `voters` and `members` are the outcome that the round shall have, if
-    it is held to change the voters or the replica set.
+    """Ask every voter to promise the next epoch. `voters` and `members` are the outcome that the round
+    shall have, if it is held to change the voters or the replica set.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
@@ -191,8 +192,9 @@
     choose: Callable[[tuple], tuple | None],
     now: datetime,
 ) -> tuple[Campaign, tuple, tuple]:
-    """Count a voter's reply. Return the campaign, the effects, and events for group.step. `choose` returns the members of
-    the new replica set, the primary first, from the voters that have granted their ballots; None if it cannot.
+    """Count a voter's reply. Return the campaign, the effects, and events for group.step. `choose` returns
+    the members of the new replica set, the primary first, from the voters that have granted their ballots;
+    None if it cannot.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
@@ -282,7 +284,7 @@
 def request_accept(
     campaign: Campaign, replica_set: tuple, voters: tuple | None, configurations: tuple, now: datetime
 ) -> tuple[Campaign, tuple]:
-    """Ask every voter to accept a replica set in this round: a new one, or one that an earlier round left undecided.
+    """Ask every voter to accept a new replica set, or one that an earlier round left undecided.
 
     >>> campaign, effects = request_accept(Campaign('ask', 4), (2, 1, 'a', 'c'), None, ((('a', ''),),), None)
     >>> effects[0].message['epoch'], effects[0].message['seat']
--- a/src/quillstall/replication/group.py
+++ b/src/quillstall/replication/group.py
@@ -1,19 +1,19 @@
-"""One member's copies of replicated partitions, as a pure state machine: primary-backup replication with epochs.
+"""One member's copies of replicated partitions: primary-backup replication with epochs, as a state machine.
 
-A partition has a replica set: an epoch, a primary and backups, granted by an authority (the core, or for the core's own
-partition the ballots of its voters). The primary runs the queued commands as a batch against its rows. A batch is finished
-when its changes are synced here and every backup has confirmed, under the same epoch, that it has synced them too. Only
-then is any command of the batch answered, reads included. So a primary that has lost a single backup to a later epoch can
-answer nothing. A replica set without backups needs no confirmation: no other member holds the data, so none can start a
-later epoch with it.
+A partition has a replica set: an epoch, a primary and backups, granted by an authority (the core, or for
+the core's own partition the ballots of its voters). The primary runs the queued commands as a batch against
+its rows. A batch is finished when its changes are synced here and every backup has confirmed, under the
+same epoch, that it has synced them too. Only then is any command of the batch answered, reads included. So
+a primary that has lost a single backup to a later epoch can answer nothing. A replica set without backups
+needs no confirmation: no other member holds the data, so none can start a later epoch with it.
 
-Within an epoch the primary orders all changes, and every other copy holds a prefix of that order. A replica set is
-changed by a reconfiguration, which any member of the present set may lead. Its stages:
+Within an epoch the primary orders all changes, and every other copy holds a prefix of that order. A replica
+set is changed by a reconfiguration, which any member of the present set may lead. Its stages:
   fill     the leader sends a snapshot of the rows to the joiner, in pieces;
   follow   it sends the changes made since;
   seal     it durably stops confirming its epoch;
-  last     it sends the joiner the rest and says that this was all. The joiner is eligible now, and no message of this or
-           of another leader changes its rows for that epoch any more;
+  last     it sends the joiner the rest and says that this was all. The joiner is eligible now, and no
+           message of this or of another leader changes its rows for that epoch any more;
   propose  it asks the authority to grant the new replica set.
 Hence every member of a granted replica set holds every change that was ever acknowledged.
 """
@@ -57,7 +57,7 @@
 
 
 class ReplicaSet(tuple):
-    """The members of a partition: an epoch, the epoch that it follows, the primary, and any number of backups.
+    """The members of a partition: their epoch, the previous epoch, the primary, and any number of backups.
 
     >>> ReplicaSet(2, 1, 'a', 'b').others('a'), ReplicaSet(2, 1, 'a', 'b', 'c').backups, ReplicaSet(2, 1, 'a').members
     (('b',), ('b', 'c'), ('a',))
@@ -153,9 +153,9 @@
 
 
 class Transfer(NamedTuple):
-    """A transfer of all rows between two members of one replica set, used where the log of the one that is ahead
-    no longer reaches back to the one that is behind. The receiver replaces its rows only once it has all of
-    them, in one write.
+    """A transfer of all rows between two members of one replica set, used where the log of the one that is
+    ahead no longer reaches back to the one that is behind. The receiver replaces its rows only once it has
+    all of them, in one write.
 
     >>> len(Transfer('b', 7).snapshot)
     0
@@ -259,8 +259,8 @@
 
 
 def load(me: str, rows: dict[str, dict], last_number: int, heartbeats: bool = False) -> State:
-    """Return the state after a start, from the stored rows. The numbers of this run begin after `last_number`, and
-    so differ from those of earlier runs.
+    """Return the state after a start, from the stored rows. The numbers of this run begin after
+    `last_number`, and so differ from those of earlier runs.
 
     >>> s = load('a', {'p00': {'#mark': [[3, 2, 'a', 'b'], 7, False, True, 0], 'x': 1}}, 5)
     >>> s.partitions['p00'].replica_set.epoch, s.partitions['p00'].rows['x'], s.partitions['p00'].ready
@@ -332,8 +332,8 @@
 
 
 def extend_log(log: tuple, new_changes: tuple) -> tuple:
-    """Return the log with new changes, truncated at its old end. The new changes are all kept: a member that lacks
-    a batch lacks all of it.
+    """Return the log with new changes, truncated at its old end. The new changes are all kept: a member
+    that lacks a batch lacks all of it.
 
     >>> len(extend_log(((1, ()),), tuple((n, ()) for n in range(2, 102)))), len(extend_log(((1, ()),), ((2, ()),)))
     (100, 2)
@@ -351,11 +351,11 @@
 
 
 def is_eligible(me: str, copy: Copy | None, replica_set: ReplicaSet) -> bool:
-    """Return whether this copy may join the replica set: it must hold all that was acknowledged before its epoch.
+    """Return whether this copy may join the replica set: it must hold all that was acknowledged before it.
 
-    A member of a granted replica set was a member of the previous one, or was brought up for this one and told that
-    it has everything. So a member that missed a grant, and was not brought up since, was a member of that set too;
-    nothing was acknowledged there without its confirmation, and it lacks nothing.
+    A member of a granted replica set was a member of the previous one, or was brought up for this one and
+    told that it has everything. So a member that missed a grant, and was not brought up since, was a member
+    of that set too; nothing was acknowledged there without its confirmation, and it lacks nothing.
 
     >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), has_all_rows=True)
     >>> is_eligible('a', old, ReplicaSet(3, 2, 'a', 'c')), is_eligible('a', old, ReplicaSet(4, 3, 'a', 'c')), is_eligible('a', old, ReplicaSet(3, 1, 'a', 'c'))
@@ -464,8 +464,8 @@
 
 
 def regresses(before: Copy, after: Copy) -> bool:
-    """Return whether a copy goes back to an earlier epoch, loses changes within one, or has two replica sets in one.
-    A copy that is brought up for a later epoch may replace its rows.
+    """Return whether a copy goes back to an earlier epoch, loses changes within one, or has two replica
+    sets in one. A copy that is brought up for a later epoch may replace its rows.
 
     >>> old = Copy('p', ReplicaSet(2, 1, 'a', 'b'), seq=7, has_all_rows=True)
     >>> regresses(old, old._replace(seq=8)), regresses(old, old._replace(seq=6))
@@ -554,8 +554,8 @@
 
 
 def send_hello(context: StepContext, partition: str) -> None:
-    """As primary, ask the backups for their positions before the first batch. Those that have not answered are
-    asked again in the same session: one with a slow disk answers late."""
+    """As primary, ask the backups for their positions before the first batch. Those that have not answered
+    are asked again in the same session: one with a slow disk answers late."""
     copy = context.copy(partition)
     if copy.hello_sent_at and context.now - copy.hello_sent_at < RETRY_INTERVAL:
         return
@@ -587,8 +587,8 @@
 
 
 def unconfirmed_ms(context: StepContext, copy: Copy) -> int:
-    """Return for how many milliseconds this primary has been without a confirmation. A backup that hears from a
-    primary which does not hear it must not count that primary as alive."""
+    """Return for how many milliseconds this primary has been without a confirmation. A backup that hears
+    from a primary which does not hear it must not count that primary as alive."""
     return (
         0 if copy.last_confirmed is None else (context.now - copy.last_confirmed) // timedelta(milliseconds=1)
     )
@@ -653,7 +653,7 @@
 
 
 def batch_writes(partition: str, changes: tuple) -> tuple:
-    """Return the writes of a batch: its rows, and its changes as the stored log, for members that lack them."""
+    """Return the writes of a batch: its rows, and its changes as the stored log for members that lack them."""
     puts = tuple(Put(partition, key, value) for _, entry in changes for key, value in entry)
     return puts + (Put(partition, '#last', [[n, [list(c) for c in entry]] for n, entry in changes]),)
 
@@ -784,7 +784,7 @@
 
 
 def has_caught_up(copy: Copy | None, message: dict) -> bool:
-    """Return whether this copy is complete for the epoch of a reconfiguration; no message of it changes the copy then.
+    """Return whether this copy is complete for the epoch of a reconfiguration, which can't change it then.
 
     >>> has_caught_up(Copy('p', has_all_rows=True, joining_epoch=2, caught_up=True), {'epoch': 2})
     True
@@ -793,8 +793,8 @@
 
 
 def receive_fill(context: StepContext, event: Told, copy: Copy | None) -> None:
-    """As joiner, store one piece of a snapshot. The first piece of a new fill clears the copy; a repeated piece
-    changes nothing."""
+    """As joiner, store one piece of a snapshot. The first piece of a new fill clears the copy; a repeated
+    piece changes nothing."""
     message = event.message
     partition, previous_epoch, epoch, fill_id = (
         message['part'],
@@ -898,9 +898,9 @@
 
 
 def synchronize_backups(context: StepContext, partition: str) -> None:
-    """Once every backup has reported its position, which is on its disk: take over the changes of the one that is
-    furthest ahead, sync all that is held here, send the changes that others lack, then serve. Where a log does
-    not reach back far enough, all rows are transferred."""
+    """Once every backup has reported its position, which is on its disk: take over the changes of the one
+    that is furthest ahead, sync all that is held here, send the changes that others lack, then serve. Where
+    a log does not reach back far enough, all rows are transferred."""
     copy = context.copy(partition)
     if copy.ready or copy.transfer or any(b not in copy.backup_positions for b in copy.replica_set.backups):
         return
@@ -954,8 +954,9 @@
 
 
 def sync_before_serving(context: StepContext, copy: Copy, puts: tuple = ()) -> None:
-    """Sync what this primary holds before it serves: a batch without changes is finished by the confirmations of the
-    backups alone, and its reads may show changes of an earlier write that is not synced here yet."""
+    """Sync what this primary holds before it serves: a batch without changes is finished by the
+    confirmations of the backups alone, and its reads may show changes of an earlier write that is not
+    synced here yet."""
     copy = context.put(copy._replace(syncing_session=copy.session))
     context.save(copy, puts, ('g', copy.partition, copy.session, 'met', 0))
 
@@ -987,8 +988,8 @@
 
 
 def pull_reply(copy: Copy, after_key: str) -> dict:
-    """Return the reply with the rows after a key, up to the limits of a message. The rows don't change during the
-    transfer: this copy's primary waits for them.
+    """Return the reply with the rows after a key, up to the limits of a message. The rows don't change
+    during the transfer: this copy's primary waits for them.
 
     >>> copy = Copy('p', seq=9, rows=Map({'a': 1, 'b': 2}))
     >>> pull_reply(copy, 'a') == {'ok': True, 'seq': 9, 'rows': [['b', 2]], 'last': True}
--- a/src/quillstall/replication/register.py
+++ b/src/quillstall/replication/register.py
@@ -1,18 +1,18 @@
-"""The lease quorum: the newest generation of the policy as the stores keep it, for the time when no core can be reached.
+"""The lease quorum: the newest generation of the policy, kept by the stores for when no core is reachable.
 
-Each registered store keeps a record on its disk: the newest generation, whole, and the register, which is the list of stores
-that count. A routing node that the core does not answer asks the registered stores; the replies of a majority renew its lease,
-and it takes the newest record among them. The core acknowledges a generation only when a majority has it and every lease
-granted under an older one has expired. While the register changes, majorities of the old and of the new one are needed.
+Each registered store keeps a record on its disk: the newest generation, whole, and the register, which is
+the list of stores that count. A routing node that the core does not answer asks the registered stores; the
+replies of a majority renew its lease, and it takes the newest record among them. The core acknowledges a
+generation only when a majority has it and every lease granted under an older one has expired. While the
+register changes, majorities of the old and of the new one are needed.
 """
 
 from collections.abc import Iterable
 from datetime import timedelta
 from typing import Any, NamedTuple
 
-DEFAULT_LEASE = timedelta(
-    milliseconds=2500
-)  # unless the settings are shorter; counted from the holder's request
+# used unless the settings name a shorter one; counted from the time when the holder asked for it
+DEFAULT_LEASE = timedelta(milliseconds=2500)
 GRANTED_LEASE_FACTOR = 1.02  # by which the grantor waits longer: clocks may differ in rate by one per cent
 ANY_NODE = '*'  # any routing node whose lease a store may have renewed before its last start
 EMPTY_REGISTER = {'number': 0, 'now': {}, 'old': {}}
@@ -63,9 +63,9 @@
 
 
 def intersects_majorities(names: Iterable[str], members: dict, previous: dict) -> bool:
-    """Return whether every majority includes one of these stores, so that whoever asks a majority finds what they all
-    know. With an odd number of members that takes a majority; with an even number half is enough, so that one
-    of two stores may be lost.
+    """Return whether every majority includes one of these stores, so that whoever asks a majority finds
+    what they all know. With an odd number of members that takes a majority; with an even number half is
+    enough, so that one of two stores may be lost.
 
     >>> three, two = {'a': '', 'b': '', 'c': ''}, {'a': '', 'b': ''}
     >>> intersects_majorities(['a'], three, {}), intersects_majorities(['a', 'b'], three, {}), intersects_majorities(['a'], two, {}), intersects_majorities([], two, {})
@@ -104,8 +104,8 @@
 
 
 def read_quorum(known: dict, records: dict[str, QuorumRecord]) -> tuple[dict, QuorumRecord | None]:
-    """Return the newest register that the records of the answering stores show, and the newest record, or None if no
-    majority of that register has answered. `known` is the register that the caller had.
+    """Return the newest register that the records of the answering stores show, and the newest record, or
+    None if no majority of that register has answered. `known` is the register that the caller had.
 
     >>> known = {'number': 1, 'now': {'a': '', 'b': '', 'c': ''}, 'old': {}}
     >>> behind, newest = QuorumRecord(4, 1, members=known['now']), QuorumRecord(5, 1, members=known['now'])
--- a/src/quillstall/replication/rendezvous.py
+++ b/src/quillstall/replication/rendezvous.py
@@ -27,7 +27,7 @@
 
 
 def rank_across_zones(key: str, zones: dict[str, str], first: Sequence[str] = ()) -> list[str]:
-    """Return the names ranked for a key, spread over zones: each prefix covers as many zones as it can. Those in `first` lead.
+    """Return the names ranked for a key, after those in `first`, with the leading ones in different zones.
 
     >>> zones = {'a': 'z1', 'b': 'z1', 'c': 'z2'}
     >>> order = rank_across_zones('k', zones); zones[order[0]] != zones[order[1]]
--- a/src/quillstall/replication/watch.py
+++ b/src/quillstall/replication/watch.py
@@ -1,4 +1,4 @@
-"""Failure detection by pings: which of its watched peers a process has not heard from. Used by routing nodes and stores."""
+"""Failure detection by pings, for routing nodes and stores: which watched peers have been silent."""
 
 from datetime import datetime, timedelta
 from typing import NamedTuple
@@ -6,7 +6,7 @@
 from immutables import Map
 
 PING_TIMEOUT_MS = 700
-DEFAULT_SILENCE = timedelta(milliseconds=1500)
+DEFAULT_SILENCE_LIMIT = timedelta(milliseconds=1500)
 
 
 class Watch(NamedTuple):
@@ -19,13 +19,15 @@
     peers: dict = {}
     last_heard: Map = Map()  # the watched peers, which are pinged; nothing is concluded about the others
     pinged_at: datetime | None = None
-    silence: timedelta = DEFAULT_SILENCE  # three pings are sent in this time
-    suspect_after: timedelta | None = None  # a peer is suspected after this silence; None: after `silence`
+    silence_limit: timedelta = DEFAULT_SILENCE_LIMIT  # three pings are sent in this time
+    suspect_after: timedelta | None = (
+        None  # a peer is suspected after this silence; None: after `silence_limit`
+    )
 
 
 def with_peers(watch: Watch, update: dict, now: datetime) -> Watch:
-    """Return the watch with the peers of a core update. Only the watched ones are pinged; a new one counts as heard
-    from now. A core of an earlier version names no watched ones: then all are watched.
+    """Return the watch with the peers of a core update. Only the watched ones are pinged; a new one counts
+    as heard from now. A core of an earlier version names no watched ones: then all are watched.
 
     >>> t = datetime(2026, 1, 1)
     >>> watch = with_peers(Watch(), {'peers': {'a': '1:1', 'b': '1:2'}, 'watched': ['a']}, t); suspects(watch, t), suspects(watch, t + timedelta(seconds=2))
@@ -45,7 +47,7 @@
     >>> watch, pings = due_pings(with_peers(Watch(), {'peers': {'a': '1:1', 'b': '1:2'}, 'watched': ['a']}, t), t); pings, due_pings(watch, t)[1]
     ([('a', '1:1')], [])
     """
-    if watch.pinged_at is not None and now - watch.pinged_at < watch.silence / 3:
+    if watch.pinged_at is not None and now - watch.pinged_at < watch.silence_limit / 3:
         return watch, []
     return watch._replace(pinged_at=now), sorted((name, watch.peers[name]) for name in watch.last_heard)
 
@@ -55,7 +57,7 @@
 
     >>> t = datetime(2026, 1, 1)
     >>> watch = with_peers(Watch(), {'peers': {'a': '1:1'}}, t)
-    >>> record_ping(watch, 'a', {'me': 'a'}, t + DEFAULT_SILENCE).last_heard['a'] == t, record_ping(watch, 'a', {'me': 'b'}, t + DEFAULT_SILENCE).last_heard['a'] == t
+    >>> record_ping(watch, 'a', {'me': 'a'}, t + DEFAULT_SILENCE_LIMIT).last_heard['a'] == t, record_ping(watch, 'a', {'me': 'b'}, t + DEFAULT_SILENCE_LIMIT).last_heard['a'] == t
     (False, True)
     """
     if reply is None or reply.get('me') != name or name not in watch.last_heard:
@@ -65,5 +67,5 @@
 
 def suspects(watch: Watch, now: datetime) -> list[str]:
     """Return the names of the peers that have been silent for too long: `suspects(watch, now)`."""
-    limit = watch.silence if watch.suspect_after is None else watch.suspect_after
+    limit = watch.silence_limit if watch.suspect_after is None else watch.suspect_after
     return sorted(name for name, at in watch.last_heard.items() if now - at > limit)
