--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -67,7 +67,7 @@
 
     def __init__(self, rows):
         seat = ReplicaSet(1, 0, 'c1')
-        copy = group.Copy('core', seat, has_all_rows=True, rows=Map(rows), ready=True, last_confirmed=START)
+        copy = group.Copy('core', seat, has_all_rows=True, rows=Map(rows), ready=True, last_heard=START)
         fleet = {
             'id': 'f',
             'witnesses': (('c1', '1:1'), ('c2', '2:1'), ('c3', '3:1')),
--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -180,7 +180,7 @@
     state = group.load(me, rows, count, heartbeats=True)
     copy = state.partitions.get('core')
     if copy:
-        state = state._replace(partitions=state.partitions.set('core', copy._replace(last_confirmed=now)))
+        state = state._replace(partitions=state.partitions.set('core', copy._replace(last_heard=now)))
     witness = ballot.load(own)
     run = ballot.Campaign(
         highest_epoch=max(witness.promised, copy.replica_set.epoch if copy and copy.replica_set else 0)
--- a/src/quillstall/controlplane/membership.py
+++ b/src/quillstall/controlplane/membership.py
@@ -126,12 +126,12 @@
         or not copy.replica_set.includes(state.me)
     ):
         return state
-    if state.run.stage != 'idle' or copy.last_confirmed is None or state.me not in dict(crew_next(state)):
+    if state.run.stage != 'idle' or copy.last_heard is None or state.me not in dict(crew_next(state)):
         return state
     dice = (state.dice * 1103515245 + 12345) % 2**31
     rest = timedelta(milliseconds=200 + dice % 600)
     state = state._replace(dice=dice)
-    if now - copy.last_confirmed < max(SILENT, state.silent) or (
+    if now - copy.last_heard < max(SILENT, state.silent) or (
         state.run.failed_at and now - state.run.failed_at < rest
     ):
         return state
@@ -140,7 +140,7 @@
         state.me,
         crews(state),
         now,
-        f'{", ".join(copy.replica_set.others(state.me))} silent since {copy.last_confirmed.isoformat()}',
+        f'{", ".join(copy.replica_set.others(state.me))} silent since {copy.last_heard.isoformat()}',
     )
     out.extend(effects)
     return state._replace(run=run)
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -363,7 +363,7 @@
         well = (
             copy.ready
             and not copy.sealed
-            and (copy.batch is None or now - (copy.last_confirmed or now) < CONFIRM_LIMIT)
+            and (copy.batch is None or now - (copy.last_heard or now) < CONFIRM_LIMIT)
         )
         if mine and not well and not (copy.sealed and copy.reconfiguration):
             if part not in since or since[part][0] != copy.replica_set.epoch:
--- a/src/quillstall/replication/group.py
+++ b/src/quillstall/replication/group.py
@@ -191,7 +191,7 @@
     caught_up: bool = False  # as joiner: it holds every change acknowledged before `joining_epoch`
     fill_id: tuple = ()  # as joiner: the fill that it accepts
     rows_received: int = 0  # as joiner: how many rows of the snapshot have arrived
-    last_confirmed: datetime | None = None  # when the member that has been silent for longest last confirmed
+    last_heard: datetime | None = None  # when the most silent other member was last heard from
     confirmed_at: Map = Map()  # as primary: backup -> when it last confirmed
     backup_positions: Map = Map()  # as primary, before it serves: backup -> (seq, log)
     hello_sent_at: datetime | None = None
@@ -519,7 +519,7 @@
             reconfiguration=None,
             batch=None,
             queue=queue,
-            last_confirmed=context.now,
+            last_heard=context.now,
             session=0,
             hello_sent_at=None,
             backup_positions=Map(),
@@ -589,9 +589,7 @@
 def unconfirmed_ms(context: StepContext, copy: Copy) -> int:
     """Return for how many milliseconds this primary has been without a confirmation. A backup that hears
     from a primary which does not hear it must not count that primary as alive."""
-    return (
-        0 if copy.last_confirmed is None else (context.now - copy.last_confirmed) // timedelta(milliseconds=1)
-    )
+    return 0 if copy.last_heard is None else (context.now - copy.last_heard) // timedelta(milliseconds=1)
 
 
 def record_confirmation(context: StepContext, copy: Copy, backup: str) -> Copy:
@@ -599,16 +597,16 @@
 
     >>> t = datetime(2026, 1, 1); context = StepContext(State('a'), t + RETRY_INTERVAL, None)
     >>> copy = Copy('p', ReplicaSet(1, 0, 'a', 'b', 'c'), confirmed_at=Map({'b': t, 'c': t}))
-    >>> record_confirmation(context, copy, 'b').last_confirmed == t, record_confirmation(context, record_confirmation(context, copy, 'b'), 'c').last_confirmed == t + RETRY_INTERVAL
+    >>> record_confirmation(context, copy, 'b').last_heard == t, record_confirmation(context, record_confirmation(context, copy, 'b'), 'c').last_heard == t + RETRY_INTERVAL
     (True, True)
-    >>> record_confirmation(context, copy._replace(confirmed_at=Map()), 'b').last_confirmed == t + RETRY_INTERVAL      # just started
+    >>> record_confirmation(context, copy._replace(confirmed_at=Map()), 'b').last_heard == t + RETRY_INTERVAL      # just started
     True
     """
     confirmed_at = copy.confirmed_at.set(backup, context.now)
-    since = copy.last_confirmed or context.now  # for those not heard from since this process started
+    since = copy.last_heard or context.now  # for those not heard from since this process started
     return copy._replace(
         confirmed_at=confirmed_at,
-        last_confirmed=min(confirmed_at.get(b, since) for b in copy.replica_set.backups),
+        last_heard=min(confirmed_at.get(b, since) for b in copy.replica_set.backups),
     )
 
 
@@ -725,7 +723,7 @@
             context.effects.append(Return(event.call, {'ok': False, 'no': refusal, 'seat': replica_set}))
             return
         if message.get('quiet', 0) < MAX_UNCONFIRMED_MS:
-            copy = copy._replace(last_confirmed=context.now)
+            copy = copy._replace(last_heard=context.now)
         if kind == 'hello':
             reply_to_hello(context, copy, event)
             return
@@ -1244,7 +1242,7 @@
 
 def is_batch_stalled(context: StepContext, copy: Copy) -> bool:
     """Return whether the batch cannot finish because a backup is silent."""
-    return copy.last_confirmed is None or context.now - copy.last_confirmed > timedelta(milliseconds=900)
+    return copy.last_heard is None or context.now - copy.last_heard > timedelta(milliseconds=900)
 
 
 def send_to_joiner(
@@ -1333,7 +1331,7 @@
     ):
         return
     if not copy.replica_set.backups:  # no confirmation to wait for
-        copy = context.put(copy._replace(last_confirmed=context.now))
+        copy = context.put(copy._replace(last_heard=context.now))
     if not copy.ready:
         if copy.transfer is None:
             send_hello(context, partition)
@@ -1346,7 +1344,7 @@
     elif (
         context.state.heartbeats
         and copy.replica_set.backups
-        and (copy.last_confirmed is None or context.now - copy.last_confirmed >= HEARTBEAT_INTERVAL)
+        and (copy.last_heard is None or context.now - copy.last_heard >= HEARTBEAT_INTERVAL)
     ):
         context.put(
             copy._replace(queue=copy.queue + (PendingCommand(('beat',), {'op': '#again', 'ret': {}}),))
--- a/src/quillstall/replication/register.py
+++ b/src/quillstall/replication/register.py
@@ -63,9 +63,9 @@
 
 
 def intersects_majorities(names: Iterable[str], members: dict, previous: dict) -> bool:
-    """Return whether every majority includes one of these stores, so that whoever asks a majority finds
-    what they all know. With an odd number of members that takes a majority; with an even number half is
-    enough, so that one of two stores may be lost.
+    """Return whether every majority of the members, and of the previous ones while those count, includes one
+    of these stores, so that whoever asks a majority finds what they all know. With an odd number of members
+    that takes a majority; with an even number half is enough, so that one of two stores may be lost.
 
     >>> three, two = {'a': '', 'b': '', 'c': ''}, {'a': '', 'b': ''}
     >>> intersects_majorities(['a'], three, {}), intersects_majorities(['a', 'b'], three, {}), intersects_majorities(['a'], two, {}), intersects_majorities([], two, {})
--- a/src/quillstall/replication/rendezvous.py
+++ b/src/quillstall/replication/rendezvous.py
@@ -9,7 +9,7 @@
 
 @lru_cache(maxsize=MAX_CACHED_SCORES)
 def score(key: str, name: str) -> int:
-    """Return the weight of `name` for `key`.
+    """Return the score of `name` for `key`.
 
     >>> score('a', 'n1') == score('a', 'n1') != score('a', 'n2')
     True
