--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -16,7 +16,7 @@
 from quillstall.controlplane import shelf, weight
 from quillstall.dataplane.node import Node
 from quillstall.network import httpclient
-from quillstall.replication.rendezvous import part_of
+from quillstall.replication.rendezvous import partition_of
 from quillstall.runtime.clock import SystemClock
 from quillstall.runtime.errors import Fault
 
@@ -166,7 +166,7 @@
 def repeats_released(context):
     cluster = context.cluster
     record_key = 'h.example k1'
-    partition = part_of(record_key, len(PARTITIONS))
+    partition = partition_of(record_key, len(PARTITIONS))
 
     def row():
         return weight.unpack(cluster.stores.rows[partition][f'once/{record_key}'])
--- a/features/steps/failures.py
+++ b/features/steps/failures.py
@@ -80,7 +80,7 @@
         return (
             second,
             [core_state.is_primary(s) for s in (after_5s, after_15s)],
-            [core_state.core_copy(s).seat for s in (after_5s, after_15s)],
+            [core_state.core_copy(s).replica_set for s in (after_5s, after_15s)],
         )
 
     context.observed = play(context.seed, context.deploy, script)
@@ -90,7 +90,9 @@
 def backup_took_over(context):
     second, is_primary, seats = context.observed
     assert is_primary == [True, True], (is_primary, seats)
-    assert seats[0] == seats[1] and seats[0].base == 1 and seats[0].primary.startswith(second), seats
+    assert seats[0] == seats[1] and seats[0].previous_epoch == 1 and seats[0].primary.startswith(second), (
+        seats
+    )
 
 
 @when("the core's primary freezes, another takes over, and the first thaws and gets requests at once")
--- a/features/steps/gateway_turns.py
+++ b/features/steps/gateway_turns.py
@@ -6,7 +6,7 @@
 from gateway import runs_of_request
 from standin import EVENT_TOKENS, PARTITIONS, sse_event, turn_output, wait_until
 
-from quillstall.replication.rendezvous import part_of
+from quillstall.replication.rendezvous import partition_of
 
 # ---- turns
 
@@ -65,12 +65,12 @@
 @then('the same holds when another program continues it, and continues that again')
 def next_program(context):
     cluster = context.cluster
-    first_partition = part_of('P', len(PARTITIONS))
+    first_partition = partition_of('P', len(PARTITIONS))
     same_partition_program = next(
-        f'Q{n}' for n in range(99) if part_of(f'Q{n}', len(PARTITIONS)) == first_partition
+        f'Q{n}' for n in range(99) if partition_of(f'Q{n}', len(PARTITIONS)) == first_partition
     )
     other_partition_program = next(
-        f'Q{n}' for n in range(99) if part_of(f'Q{n}', len(PARTITIONS)) != first_partition
+        f'Q{n}' for n in range(99) if partition_of(f'Q{n}', len(PARTITIONS)) != first_partition
     )
     conversation = FIRST + b'[t2]' + turn_output('t2', 3)
     for prefix, program in (('n', same_partition_program), ('f', other_partition_program)):
@@ -150,7 +150,7 @@
 def settled(cluster, program='P'):
     """Wait until no turn of a program is open, and return the tokens that it has spent."""
     rows = cluster.stores.rows
-    key, partition = f'prog/{program}', part_of(program, len(PARTITIONS))
+    key, partition = f'prog/{program}', partition_of(program, len(PARTITIONS))
     cluster.run(wait_until(lambda: key in rows[partition] and not rows[partition][key]['holds']))
     return rows[partition][key]['spent']
 
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -3,14 +3,14 @@
 from datetime import UTC, datetime, timedelta
 
 from behave import given, then, when
-from copies import lose, opened, settled, town_of
+from copies import kill_and_wipe, open_and_settle, simulated_town, wait_until_settled
 from immutables import Map
 
 from quillstall.controlplane import core, core_state, placement, status
 from quillstall.controlplane import run as controlplane
 from quillstall.dataplane.admission import admission_state
 from quillstall.replication import group, register
-from quillstall.replication.group import Seat
+from quillstall.replication.group import ReplicaSet
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.effect import Tick, Told, Write, Wrote
 from quillstall.runtime.errors import Fault
@@ -66,8 +66,10 @@
     """A core with the only copy of the core table, driven event by event; its disk syncs at once, and no other voter answers."""
 
     def __init__(self, rows):
-        replica_set = Seat(1, 0, 'c1')
-        copy = group.Copy('core', replica_set, full=True, rows=Map(rows), ready=True, heard=START)
+        replica_set = ReplicaSet(1, 0, 'c1')
+        copy = group.Copy(
+            'core', replica_set, has_all_rows=True, rows=Map(rows), ready=True, last_heard=START
+        )
         fleet = {
             'id': 'f',
             'witnesses': (('c1', '1:1'), ('c2', '2:1'), ('c3', '3:1')),
@@ -250,7 +252,9 @@
         if node['role'] == 'store' and name in register_row['now']
     ]
     assert context.member not in {**register_row['now'], **register_row['old']}, register_row
-    assert not register_row['old'] and register.most(known_stores, register_row['now'], {}), register_row
+    assert not register_row['old'] and register.is_majority(known_stores, register_row['now'], {}), (
+        register_row
+    )
 
 
 @when('a store is retired and taken away, and another loses its disk at once')
@@ -259,11 +263,11 @@
         leaving, failing = town.named('store')[:2]
         status = await wait_for_retirement(town, await request_retirement(town, leaving))
         town.drop(leaving)
-        lose(town, failing)
+        kill_and_wipe(town, failing)
         await town.sleep(2)
         town.start(failing)
         await town.crowd.idle()
-        status = await settled(town, 1)
+        status = await wait_until_settled(town, 1)
         return town.judge(), town.crowd.report(), status
 
     violations, report, context.status = context.play(script)
@@ -275,7 +279,7 @@
     async def script(town):
         name = town.named('store')[0]
         previous = await request_retirement(town, name)
-        lose(town, name)
+        kill_and_wipe(town, name)
         await town.sleep(2)
         town.start(name)
         for _ in range(300):
@@ -306,7 +310,7 @@
         await wait_for_retirement(town, await request_retirement(town, leaving))
         town.drop(leaving)
         await town.sleep(5)
-        lose(town, failing)
+        kill_and_wipe(town, failing)
         await town.sleep(3)
         answer = await town.ask('PATCH', '/v1/policy', {'keeping_s': 444})
         town.start(failing)
@@ -393,7 +397,7 @@
         state, served_by = await begin_keyed(town, partition, 'first', 8)
         returned = False
         if served_by:
-            lose(town, served_by)
+            kill_and_wipe(town, served_by)
             await town.sleep(0.1)
             absent.end()
             returned = True
@@ -438,7 +442,7 @@
         status = await town.status()
         lost = [machine_of(n) for n in status['seat'][2:] if machine_of(n) not in frozen][:more]
         for name in lost:
-            lose(town, name)
+            kill_and_wipe(town, name)
         await town.sleep(0.2)
         for name in frozen:
             town.world.thaw(town.machines[name])
@@ -488,7 +492,7 @@
         all_machines = town.named('core') + town.named('store') + town.named('route')
         for name in all_machines:
             if name in wiped:
-                lose(town, name)
+                kill_and_wipe(town, name)
             else:
                 town.world.kill(town.machines[name])
         await town.sleep(1)
@@ -670,10 +674,10 @@
 def full_deployment(context, stores):
     def play(script):
         async def main(world):
-            town, cores = town_of(world, 'cartalume', stores, 3, 1)
+            town, cores = simulated_town(world, 'cartalume', stores, 3, 1)
             for startup in town.startups.values():
                 startup.update(parts=PARTITIONS)
-            await opened(town, cores, 1)
+            await open_and_settle(town, cores, 1)
             await store_turns(town)
             return await script(town)
 
@@ -697,7 +701,7 @@
     async def script(town):
         name = town.named('store')[0]
         previous = member_of(await town.status(), name)
-        lose(town, name)
+        kill_and_wipe(town, name)
         await town.sleep(3)
         town.start(name)
         return await time_to_repair(town, None, previous)
--- a/src/quillstall/controlplane/core.py
+++ b/src/quillstall/controlplane/core.py
@@ -29,8 +29,8 @@
 from quillstall.network import listing
 from quillstall.network.listing import Listing
 from quillstall.replication import ballot, group, register
-from quillstall.replication.group import Grant, Op, Seat
-from quillstall.replication.rendezvous import apart
+from quillstall.replication.group import Grant, Op, ReplicaSet
+from quillstall.replication.rendezvous import rank_across_zones
 from quillstall.runtime.disk import Put
 from quillstall.runtime.effect import (
     Ask,
@@ -85,7 +85,7 @@
     if kind is Heard and event.tag[0] == 'f':
         return handle_core_reply(state, event, now, effects)
     if kind is Wrote and event.tag[0] == 'w':
-        effects.extend(ballot.wrote(event))
+        effects.extend(ballot.reply_after_write(event))
         return state
     if kind is Wrote and event.tag[0] == 'f':
         return finish_fleet_write(state, event, now, effects)
@@ -133,7 +133,7 @@
 def handle_ballot_reply(state: Core, event: Heard, now: datetime, effects: list) -> Core:
     """Handle an acceptor's reply in this process's campaign, and remember newer voters that it reports."""
     copy = core_copy(state)
-    own_replica_set = copy.seat if copy and copy.full else None
+    own_replica_set = copy.replica_set if copy and copy.has_all_rows else None
     reply = event.ret or {}
     if (
         reply.get('seat')
@@ -141,8 +141,8 @@
         and reply['seat'][0]
         > max(state.fleet['epoch'], state.possible_voters[0] if state.possible_voters else 0)
     ):
-        state = state._replace(possible_voters=(reply['seat'][0], ballot.tuples(reply['crew'])))
-    campaign, ballot_effects, events = ballot.heard(
+        state = state._replace(possible_voters=(reply['seat'][0], ballot.decode_voters(reply['crew'])))
+    campaign, ballot_effects, events = ballot.handle_reply(
         state.campaign,
         event,
         state.me,
@@ -183,8 +183,8 @@
         return state
     if kind in ballot.KINDS:
         campaign = state.campaign
-        acceptor, ballot_effects = ballot.cast(state.acceptor, event)
-        campaign = campaign._replace(seen=max(campaign.seen, acceptor.promised))
+        acceptor, ballot_effects = ballot.vote(state.acceptor, event)
+        campaign = campaign._replace(highest_epoch=max(campaign.highest_epoch, acceptor.promised))
         effects.extend(ballot_effects)
         return state._replace(acceptor=acceptor, campaign=campaign)
     if kind in group.KINDS:
@@ -392,7 +392,7 @@
             for n in state.nodes.values()
             if n.role == 'store' and n.register_number >= current['number']
         ]
-        if not register.covers(informed, current['now'], current['old']):
+        if not register.intersects_majorities(informed, current['now'], current['old']):
             return state
         number, since = state.settled_register
         if number != current['number']:
@@ -430,7 +430,7 @@
     ):
         return state
     informed = [n for n in live if state.nodes[n].register_number >= current['number']]
-    if current['old'] or not register.most(informed, current['now'], {}):
+    if current['old'] or not register.is_majority(informed, current['now'], {}):
         return state
     command = {'op': 'emptied', 'name': retiring[0], 'live': live, 'copies': replication_factor(state)}
     return step_replication(state, Op('core', ('c', 'none'), command), now, effects)
@@ -586,14 +586,14 @@
         if fleet['epoch'] > state.fleet['epoch']:
             effects.append(Write((Put('', 'fleet', fleet),), ('none',)))
             if state.me in dict(current_voters(state)) and state.me not in dict(
-                ballot.tuples(fleet['witnesses'])
+                ballot.decode_voters(fleet['witnesses'])
             ):
                 effects.append(
                     Note('swapped_out', {'epoch': fleet['epoch'], 'cause': "another took this one's place"})
                 )
             state = state._replace(fleet=fleet, possible_voters=None)
         if replica_set:
-            state = step_replication(state, Grant('core', Seat(*replica_set)), now, effects)
+            state = step_replication(state, Grant('core', ReplicaSet(*replica_set)), now, effects)
     if call is not None:
         effects.append(Return(call, {'ok': True}))
     return state
@@ -642,7 +642,7 @@
             state.me: state.zone,
             **{state.formation_replies[s][0]: state.formation_replies[s][1] for s in others},
         }
-        replica_set = [1, 0, *apart('core', zones, [state.me])[: replication_factor(state)]]
+        replica_set = [1, 0, *rank_across_zones('core', zones, [state.me])[: replication_factor(state)]]
         fleet = {'id': f'f-{state.me}', 'witnesses': names, 'epoch': 1, 'seat': replica_set}
         effects.append(Write((Put('', 'forming', fleet),), ('f', 'forming', fleet)))
         return state._replace(forming_fleet=fleet)
@@ -670,8 +670,8 @@
     if state.fleet is not None:
         return state
     effects.append(Note('formed', {'fleet': fleet['id']}))
-    replica_set = Seat(*fleet['seat'])
-    state = state._replace(fleet=fleet, forming_fleet=None, campaign=ballot.Campaign(seen=1))
-    if replica_set.holds(state.me) and replica_set.epoch == 1:
+    replica_set = ReplicaSet(*fleet['seat'])
+    state = state._replace(fleet=fleet, forming_fleet=None, campaign=ballot.Campaign(highest_epoch=1))
+    if replica_set.includes(state.me) and replica_set.epoch == 1:
         state = step_replication(state, Grant('core', replica_set), now, effects)
     return state
--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -8,8 +8,8 @@
 
 from quillstall.controlplane import book
 from quillstall.replication import ballot, group, register
-from quillstall.replication.group import Seat
-from quillstall.replication.register import LEASE
+from quillstall.replication.group import ReplicaSet
+from quillstall.replication.register import DEFAULT_LEASE
 from quillstall.runtime.clock import of_ms
 
 STORE_TIMEOUT = timedelta(milliseconds=2000)
@@ -115,7 +115,7 @@
     zone: str
     seeds: tuple
     copies: group.State = group.State('')
-    acceptor: ballot.Witness = ballot.Witness()
+    acceptor: ballot.Acceptor = ballot.Acceptor()
     campaign: ballot.Campaign = ballot.Campaign()
     fleet: dict | None = None
     forming_fleet: dict | None = None
@@ -146,7 +146,7 @@
     degraded_mode: bool = False  # whether partitions serve with fewer copies during a repair
     last_replies: Map = Map()  # core -> time of its last reply
     wall_ahead: timedelta = timedelta(0)  # of the wall clock relative to the steady clock
-    lease_duration: timedelta = LEASE
+    lease_duration: timedelta = DEFAULT_LEASE
     acknowledged_generation: int = 0  # newest generation acknowledged to an operator
     store_timeout: timedelta = STORE_TIMEOUT  # after which a store is given up unless peers reach it
     packed_policy: PackedPolicy = PackedPolicy()  # the policy that was last sent
@@ -154,7 +154,7 @@
     @property
     def granted_lease(self) -> timedelta:
         """The time for which this process counts a lease that it granted, longer than the holder does."""
-        return self.lease_duration * register.GRANTED_PART
+        return self.lease_duration * register.GRANTED_LEASE_FACTOR
 
 
 def initial_rng_state(me: str, count: int) -> int:
@@ -178,12 +178,14 @@
     True
     """
     process_rows = rows.get('', {})
-    copies = group.load(me, rows, count, beats=True)
-    copy = copies.parts.get('core')
+    copies = group.load(me, rows, count, heartbeats=True)
+    copy = copies.partitions.get('core')
     if copy:
-        copies = copies._replace(parts=copies.parts.set('core', copy._replace(heard=now)))
+        copies = copies._replace(partitions=copies.partitions.set('core', copy._replace(last_heard=now)))
     acceptor = ballot.load(process_rows)
-    campaign = ballot.Campaign(seen=max(acceptor.promised, copy.seat.epoch if copy and copy.seat else 0))
+    campaign = ballot.Campaign(
+        highest_epoch=max(acceptor.promised, copy.replica_set.epoch if copy and copy.replica_set else 0)
+    )
     return Core(
         me,
         startup['address'],
@@ -201,7 +203,7 @@
         tolerated_losses=startup.get('losses', 1),
         degraded_mode=startup.get('lone', False),
         store_timeout=of_ms(startup['silent_ms']) if 'silent_ms' in startup else STORE_TIMEOUT,
-        lease_duration=of_ms(startup['lease_ms']) if 'lease_ms' in startup else LEASE,
+        lease_duration=of_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
     )
 
 
@@ -218,15 +220,15 @@
 
 def current_voters(state: Core) -> tuple:
     """Return the voters of the fleet's current configuration: `current_voters(state)`."""
-    return ballot.tuples((state.fleet or {}).get('witnesses')) or ()
+    return ballot.decode_voters((state.fleet or {}).get('witnesses')) or ()
 
 
 def next_voters(state: Core) -> tuple:
     """Return the voters that the next replica set is proposed with: the newest that may have been chosen."""
     epoch = (state.fleet or {}).get('epoch', 0)
     newest = (epoch, current_voters(state))
-    if state.acceptor.seat and state.acceptor.crew and state.acceptor.seat[0] > newest[0]:
-        newest = (state.acceptor.seat[0], state.acceptor.crew)
+    if state.acceptor.replica_set and state.acceptor.voters and state.acceptor.replica_set[0] > newest[0]:
+        newest = (state.acceptor.replica_set[0], state.acceptor.voters)
     if state.possible_voters and state.possible_voters[0] > newest[0]:
         newest = state.possible_voters
     return newest[1]
@@ -237,7 +239,7 @@
     sets = [current_voters(state)]
     for voters in (
         next_voters(state),
-        state.campaign.crew if state.campaign.stage in ('ask', 'move', 'accept') else None,
+        state.campaign.voters if state.campaign.stage in ('ask', 'move', 'accept') else None,
     ):
         if voters and voters not in sets:
             sets.append(voters)
@@ -252,7 +254,7 @@
 
 def core_copy(state: Core) -> group.Copy | None:
     """Return this process's copy of the core table, None if it has none."""
-    return state.copies.parts.get('core')
+    return state.copies.partitions.get('core')
 
 
 def confirmed_rows(state: Core) -> Map:
@@ -260,15 +262,21 @@
     copy = core_copy(state)
     if copy is None:
         return Map()
-    if copy.flight is not None and copy.flight.before is not None:
-        return copy.flight.before
+    if copy.batch is not None and copy.batch.rows_before is not None:
+        return copy.batch.rows_before
     return copy.rows
 
 
 def is_primary(state: Core) -> bool:
     """Return whether this process is the primary and ready to serve: `is_primary(state)`."""
     copy = core_copy(state)
-    return bool(copy and copy.seat and copy.full and copy.ready and copy.seat.primary == state.me)
+    return bool(
+        copy
+        and copy.replica_set
+        and copy.has_all_rows
+        and copy.ready
+        and copy.replica_set.primary == state.me
+    )
 
 
 def replication_factor(state: Core) -> int:
@@ -280,12 +288,12 @@
     return state.tolerated_losses + 1
 
 
-def newest_replica_set(state: Core) -> Seat | None:
+def newest_replica_set(state: Core) -> ReplicaSet | None:
     """Return the core's newest replica set that this process knows: `newest_replica_set(state)`."""
     copy = core_copy(state)
-    known = [copy.seat if copy else None, state.acceptor.seat, (state.fleet or {}).get('seat')]
+    known = [copy.replica_set if copy else None, state.acceptor.replica_set, (state.fleet or {}).get('seat')]
     return max(
-        (Seat(*replica_set) for replica_set in known if replica_set),
+        (ReplicaSet(*replica_set) for replica_set in known if replica_set),
         key=lambda replica_set: replica_set.epoch,
         default=None,
     )
@@ -293,7 +301,7 @@
 
 def current_register(state: Core) -> dict:
     """Return the register of the stores that form the lease quorum: `current_register(state)['now']`."""
-    return confirmed_rows(state).get('register') or register.NEVER
+    return confirmed_rows(state).get('register') or register.EMPTY_REGISTER
 
 
 def old_leases_may_run(state: Core, now: datetime) -> bool:
--- a/src/quillstall/controlplane/leases.py
+++ b/src/quillstall/controlplane/leases.py
@@ -205,7 +205,7 @@
         effects.append(Return(poll.call, Fault('moved', 'not the primary now').pack()))
         return state
     generation, placement_version = rows.get('gen', 0), rows.get('place', 0)
-    replica_set = core_copy(state).seat
+    replica_set = core_copy(state).replica_set
     reply = {
         'ok': True,
         'generation': generation,
@@ -219,7 +219,7 @@
     if lacks_generation(node, generation):
         reply.update(policy_for(node, state.packed_policy))
         reply['leaving'] = [n for n, _ in book.named(rows, 'leaving/')]
-    store_register = rows.get('register') or register.NEVER
+    store_register = rows.get('register') or register.EMPTY_REGISTER
     if node.register_number < store_register['number']:
         reply['register'] = store_register
     if node.placement_version != placement_version:
@@ -277,7 +277,7 @@
     """Return whether every majority of the valid registers includes a store that has the generation on disk."""
     store_register = current_register(state)
     up_to_date = [n.name for n in state.nodes.values() if n.role == 'store' and n.generation >= generation]
-    return register.covers(up_to_date, store_register['now'], store_register['old'])
+    return register.intersects_majorities(up_to_date, store_register['now'], store_register['old'])
 
 
 def nodes_under_old_leases(state: Core, generation: int, now: datetime) -> list[str]:
--- a/src/quillstall/controlplane/membership.py
+++ b/src/quillstall/controlplane/membership.py
@@ -13,7 +13,7 @@
     voter_sets,
 )
 from quillstall.replication import ballot
-from quillstall.replication.group import Seat
+from quillstall.replication.group import ReplicaSet
 from quillstall.runtime.disk import Put
 from quillstall.runtime.effect import Ask, Note, Propose, Return, Told, Violated, Write
 from quillstall.runtime.errors import Fault
@@ -32,26 +32,30 @@
     campaign tries the old members alone. There are never fewer members than the replication factor: where two or
     more are silent, one of them stays a member until the next round, and nothing is acknowledged until then."""
     copy = core_copy(state)
-    if copy is None or copy.seat is None:
+    if copy is None or copy.replica_set is None:
         return None
     wanted = replication_factor(state)
-    old_backups = [n for n in copy.seat.others(state.me) if n in granted_by and n != copy.seat.primary]
-    old_primary = [n for n in copy.seat.others(state.me) if n in granted_by and n == copy.seat.primary]
-    non_members = [n for n, _ in next_voters(state) if not copy.seat.holds(n) and n in granted_by]
-    if state.campaign.losses % 3 == 2 or not non_members:
+    old_backups = [
+        n for n in copy.replica_set.others(state.me) if n in granted_by and n != copy.replica_set.primary
+    ]
+    old_primary = [
+        n for n in copy.replica_set.others(state.me) if n in granted_by and n == copy.replica_set.primary
+    ]
+    non_members = [n for n, _ in next_voters(state) if not copy.replica_set.includes(n) and n in granted_by]
+    if state.campaign.failed_rounds % 3 == 2 or not non_members:
         others = (old_backups + old_primary)[: wanted - 1]
     else:
         others = [*old_backups[: wanted - 2], non_members[0]]
     if not others:
         return None
-    silent = [n for n in copy.seat.others(state.me) if n not in others]
+    silent = [n for n in copy.replica_set.others(state.me) if n not in others]
     return (state.me, *others, *silent[: wanted - 1 - len(others)])
 
 
 def propose_replica_set(state: Core, effect: Propose, now: datetime, effects: list) -> Core:
     """Ask the acceptors to accept the replica set that the replica group proposes."""
     campaign, ballot_effects = ballot.propose(
-        state.campaign, effect.seat, voter_sets(state), state.campaign.crew or next_voters(state), now
+        state.campaign, effect.seat, voter_sets(state), state.campaign.voters or next_voters(state), now
     )
     effects.extend(ballot_effects)
     return state._replace(campaign=campaign)
@@ -60,26 +64,28 @@
 def finish_election(state: Core, now: datetime, effects: list) -> Core:
     """Commit the voters and the replica set that the acceptors have accepted, and tell all voters."""
     old_voters = current_voters(state)
-    replica_set = Seat(*state.campaign.seat)
+    replica_set = ReplicaSet(*state.campaign.replica_set)
     copy = core_copy(state)
     if (
         copy
-        and copy.seat
-        and len(replica_set.members) < min(replication_factor(state), len(copy.seat.members))
+        and copy.replica_set
+        and len(replica_set.members) < min(replication_factor(state), len(copy.replica_set.members))
     ):
-        facts = {'part': 'core', 'seat': list(replica_set), 'before': list(copy.seat)}
+        facts = {'part': 'core', 'seat': list(replica_set), 'before': list(copy.replica_set)}
         effects.append(Violated('enough_members', facts))
     change = state.voter_change
-    removed = [list(voter) for voter in old_voters if voter[0] not in dict(state.campaign.crew)]
+    removed = [list(voter) for voter in old_voters if voter[0] not in dict(state.campaign.voters)]
     fleet = {
         **state.fleet,
-        'witnesses': state.campaign.crew,
+        'witnesses': state.campaign.voters,
         'epoch': replica_set.epoch,
         'seat': list(replica_set),
         'gone': (list(state.fleet.get('gone', ())) + removed)[-MAX_REMOVED_VOTERS:],
     }
     state = state._replace(
-        fleet=fleet, possible_voters=None, campaign=ballot.Campaign(seen=state.campaign.seen)
+        fleet=fleet,
+        possible_voters=None,
+        campaign=ballot.Campaign(highest_epoch=state.campaign.highest_epoch),
     )
     effects.append(Write((Put('', 'fleet', fleet),), ('none',)))
     for name, address in {**dict(old_voters), **dict(fleet['witnesses'])}.items():
@@ -123,23 +129,28 @@
 def start_campaign(state: Core, now: datetime, effects: list) -> Core:
     """Start a campaign if this member has not heard from the rest of the replica set for the election timeout."""
     copy = core_copy(state)
-    if copy is None or copy.seat is None or not copy.full or not copy.seat.holds(state.me):
+    if (
+        copy is None
+        or copy.replica_set is None
+        or not copy.has_all_rows
+        or not copy.replica_set.includes(state.me)
+    ):
         return state
-    if state.campaign.stage != 'idle' or copy.heard is None or state.me not in dict(next_voters(state)):
+    if state.campaign.stage != 'idle' or copy.last_heard is None or state.me not in dict(next_voters(state)):
         return state
     rng_state = (state.rng_state * 1103515245 + 12345) % 2**31
     pause = timedelta(milliseconds=200 + rng_state % 600)
     state = state._replace(rng_state=rng_state)
-    if now - copy.heard < max(MEMBER_TIMEOUT, state.store_timeout) or (
-        state.campaign.rest and now - state.campaign.rest < pause
+    if now - copy.last_heard < max(MEMBER_TIMEOUT, state.store_timeout) or (
+        state.campaign.failed_at and now - state.campaign.failed_at < pause
     ):
         return state
-    campaign, ballot_effects = ballot.begin(
+    campaign, ballot_effects = ballot.start_round(
         state.campaign,
         state.me,
         voter_sets(state),
         now,
-        f'{", ".join(copy.seat.others(state.me))} silent since {copy.heard.isoformat()}',
+        f'{", ".join(copy.replica_set.others(state.me))} silent since {copy.last_heard.isoformat()}',
     )
     effects.extend(ballot_effects)
     return state._replace(campaign=campaign)
@@ -253,28 +264,28 @@
     """Propose one more member for the core's replica set if it has fewer than the replication factor."""
     copy = core_copy(state)
     if (
-        len(copy.seat.members) >= replication_factor(state)
+        len(copy.replica_set.members) >= replication_factor(state)
         or state.campaign.stage != 'idle'
-        or (state.campaign.rest and now - state.campaign.rest < timedelta(milliseconds=800))
+        or (state.campaign.failed_at and now - state.campaign.failed_at < timedelta(milliseconds=800))
     ):
         return state
     candidates = [
         n
         for n, _ in current_voters(state)
-        if not copy.seat.holds(n)
+        if not copy.replica_set.includes(n)
         and n in state.last_replies
         and now - state.last_replies[n] < 2 * len(current_voters(state)) * timedelta(seconds=1)
     ]
     if not candidates or now - state.primary_since < MEMBER_TIMEOUT:
         return state
-    campaign, ballot_effects = ballot.begin(
+    campaign, ballot_effects = ballot.start_round(
         state.campaign,
         state.me,
         voter_sets(state),
         now,
-        f'{len(copy.seat.members)} copies of the core',
+        f'{len(copy.replica_set.members)} copies of the core',
         None,
-        (*copy.seat.members, candidates[0]),
+        (*copy.replica_set.members, candidates[0]),
     )
     effects.extend(ballot_effects)
     return state._replace(campaign=campaign)
@@ -291,17 +302,17 @@
         address, candidate = waiting[0]
         effects.append(Note('swap', {'out': name, 'in': candidate[0], 'cause': 'it was told to stop'}))
         state = state._replace(voter_change=VoterChange(None, name, candidate[0], address, now))
-    elif voter and copy.seat.holds(name) and not change_running:
+    elif voter and copy.replica_set.includes(name) and not change_running:
         members = members_without(state, name, now)
         if members is None:
             effects.append(Return(event.call, {'ok': True, 'wait': False}))
             return state
-        campaign, ballot_effects = ballot.begin(
+        campaign, ballot_effects = ballot.start_round(
             state.campaign, state.me, voter_sets(state), now, f'{name} was told to stop', None, members
         )
         effects.extend(ballot_effects)
         state = state._replace(campaign=campaign)
-    wait = voter and (bool(waiting) or copy.seat.holds(name))
+    wait = voter and (bool(waiting) or copy.replica_set.includes(name))
     effects.append(Return(event.call, {'ok': True, 'wait': wait}))
     return state
 
@@ -310,10 +321,10 @@
     """Return as many members as now without one of them, the primary first; None if too few others respond."""
     copy = core_copy(state)
     responsive = [n for n in state.last_replies if now - state.last_replies[n] < RECENT_REPLY and n != name]
-    remaining = [n for n in copy.seat.members if n != name and (n == state.me or n in responsive)]
-    others = [n for n, _ in current_voters(state) if n in responsive and not copy.seat.holds(n)]
-    members = (*remaining, *others)[: len(copy.seat.members)]
-    return members if remaining and len(members) == len(copy.seat.members) else None
+    remaining = [n for n in copy.replica_set.members if n != name and (n == state.me or n in responsive)]
+    others = [n for n, _ in current_voters(state) if n in responsive and not copy.replica_set.includes(n)]
+    members = (*remaining, *others)[: len(copy.replica_set.members)]
+    return members if remaining and len(members) == len(copy.replica_set.members) else None
 
 
 def end_voter_change(state: Core) -> Core:
@@ -342,9 +353,9 @@
     if change is None or state.campaign.stage != 'idle' or not is_primary(state):
         return state
     voters = changed_voters(state, change)
-    others = [n for n, _ in voters if n != change.removed and not copy.seat.holds(n)]
-    members = tuple(n for n in copy.seat.members if n != change.removed)
-    if len(members) < len(copy.seat.members):
+    others = [n for n, _ in voters if n != change.removed and not copy.replica_set.includes(n)]
+    members = tuple(n for n in copy.replica_set.members if n != change.removed)
+    if len(members) < len(copy.replica_set.members):
         members += (
             next(
                 (
@@ -357,7 +368,7 @@
                 others[0],
             ),
         )
-    campaign, ballot_effects = ballot.begin(
+    campaign, ballot_effects = ballot.start_round(
         state.campaign,
         state.me,
         voter_sets(state) + (voters,),
--- a/src/quillstall/controlplane/placement.py
+++ b/src/quillstall/controlplane/placement.py
@@ -12,8 +12,8 @@
     current_register,
     replication_factor,
 )
-from quillstall.replication.group import Seat
-from quillstall.replication.rendezvous import apart
+from quillstall.replication.group import ReplicaSet
+from quillstall.replication.rendezvous import rank_across_zones
 from quillstall.runtime.effect import Note, Violated
 
 MAX_CONCURRENT_REBALANCES = 4
@@ -166,7 +166,7 @@
     lost_disks = stores_with_lost_disks(state)
     urgent, repairs, rebalances = [], [], []
     for partition, row in book.named(rows, 'part/'):
-        replica_set = Seat(*row)
+        replica_set = ReplicaSet(*row)
         failed = failed_members(
             replica_set, live, stalled.get(replica_set.primary, {}).get((partition, replica_set.epoch))
         )
@@ -179,7 +179,9 @@
             continue  # a store that is only silent may be alive
         required = min_members(copies, missing, lost_disks)
         leader = responsive[0]
-        candidates = [n for n in apart(partition, eligible, remaining) if n not in replica_set.members]
+        candidates = [
+            n for n in rank_across_zones(partition, eligible, remaining) if n not in replica_set.members
+        ]
         candidates.sort(key=lambda n: (n in unresponsive, live[n].relayed))  # may be down or cut off: last
         if len(responsive) < len(replica_set.members) and len(remaining) >= required:
             urgent.append((partition, leader, leader, (replica_set.epoch + 1, replica_set.epoch, *remaining)))
@@ -222,7 +224,7 @@
     ]
 
 
-def failed_members(replica_set: Seat, live: dict[str, Node], unresponsive: set[str] | None) -> set[str]:
+def failed_members(replica_set: ReplicaSet, live: dict[str, Node], unresponsive: set[str] | None) -> set[str]:
     """Return the members to drop from a partition that its primary reports as stalled; none without a report.
 
     `unresponsive` are the members whose confirmation the primary waits for. Members that reach the core only
@@ -230,10 +232,10 @@
     then, since the core's own link may be the congested one.
 
     >>> node = Node('a', 'store', '1:1', 'z', 1)
-    >>> live, replica_set = {'a': node, 'b': node._replace(relayed=True)}, Seat(2, 1, 'a', 'b')
+    >>> live, replica_set = {'a': node, 'b': node._replace(relayed=True)}, ReplicaSet(2, 1, 'a', 'b')
     >>> failed_members(replica_set, live, None), failed_members(replica_set, live, {'b'}), failed_members(replica_set, live, set())
     (set(), {'b'}, {'b'})
-    >>> failed_members(Seat(2, 1, 'b', 'a'), live, {'a'}), failed_members(Seat(2, 1, 'a', 'c'), live, set())
+    >>> failed_members(ReplicaSet(2, 1, 'b', 'a'), live, {'a'}), failed_members(ReplicaSet(2, 1, 'a', 'c'), live, set())
     ({'b'}, {'a'})
     """
     if unresponsive is None:
@@ -261,21 +263,21 @@
 
 
 def rebalancing_step(
-    partition: str, replica_set: Seat, eligible: dict[str, str], copies: int
+    partition: str, replica_set: ReplicaSet, eligible: dict[str, str], copies: int
 ) -> list[str] | None:
     """Return a partition's members after one step towards its preferred stores, the joiner last.
 
     None if it is on its preferred stores, or if the step would leave its copies in fewer zones.
 
     >>> zones = {'a': 'x', 'b': 'y', 'c': 'z'}
-    >>> preferred = apart('p00', zones)[:2]; other = next(n for n in zones if n not in preferred)
-    >>> rebalancing_step('p00', Seat(1, 0, *preferred), zones, 2) is None
+    >>> preferred = rank_across_zones('p00', zones)[:2]; other = next(n for n in zones if n not in preferred)
+    >>> rebalancing_step('p00', ReplicaSet(1, 0, *preferred), zones, 2) is None
     True
-    >>> rebalancing_step('p00', Seat(1, 0, preferred[0], other), zones, 2) == list(preferred)
+    >>> rebalancing_step('p00', ReplicaSet(1, 0, preferred[0], other), zones, 2) == list(preferred)
     True
     """
-    preferred = apart(partition, eligible)[:copies]
-    added = [n for n in preferred if not replica_set.holds(n)]
+    preferred = rank_across_zones(partition, eligible)[:copies]
+    added = [n for n in preferred if not replica_set.includes(n)]
     removed = [n for n in replica_set.members if n not in preferred]
     excess = len(replica_set.members) - copies
     if not added and excess <= 0:
--- a/src/quillstall/controlplane/status.py
+++ b/src/quillstall/controlplane/status.py
@@ -26,7 +26,7 @@
         'role': 'core',
         'fleet': (state.fleet or {}).get('id'),
         'crew': state.fleet,
-        'sure': list(copy.seat) if copy and copy.seat else None,
+        'sure': list(copy.replica_set) if copy and copy.replica_set else None,
         'core': [a for _, a in (state.fleet or {}).get('witnesses', ())],
         'seat': list(replica_set) if replica_set else None,
         'at': where(state, replica_set.primary) if replica_set else None,
@@ -36,7 +36,7 @@
 def status(state: Core, now: datetime, rows: Map | None = None) -> dict:
     """Return this process's view of the fleet, from its own committed rows or those given: `status(state, now)`."""
     rows = confirmed_rows(state) if rows is None else rows
-    registered = rows.get('register') or register.NEVER
+    registered = rows.get('register') or register.EMPTY_REGISTER
     copy = core_copy(state)
     nodes = {}
     generation = rows.get('gen', 0)
@@ -83,7 +83,7 @@
         'me': state.me,
         'primary': is_primary(state),
         'seated_ms': primary_ms,
-        'seat': list(copy.seat) if copy and copy.seat else None,
+        'seat': list(copy.replica_set) if copy and copy.replica_set else None,
         'fleet': (state.fleet or {}).get('id'),
         'generation': generation,
         'place': rows.get('place', 0),
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -39,8 +39,8 @@
 from quillstall.network.listing import Listing
 from quillstall.network.packing import with_policy
 from quillstall.replication import register, watch
-from quillstall.replication.register import LEASE
-from quillstall.replication.rendezvous import part_of
+from quillstall.replication.register import DEFAULT_LEASE
+from quillstall.replication.rendezvous import partition_of
 from quillstall.replication.watch import Watch
 from quillstall.runtime import metrics
 from quillstall.runtime.clock import ms, of_ms
@@ -87,9 +87,11 @@
         self.fleet_id: str | None = None
         self.core_addresses: list[str] = list(ctx.startup['seeds'])
         self.core_primary: str | None = None
-        self.register = register.NEVER
-        self.lease_duration = of_ms(ctx.startup['lease_ms']) if 'lease_ms' in ctx.startup else LEASE
-        self.watch = Watch(silent=of_ms(ctx.startup['silent_ms'])) if 'silent_ms' in ctx.startup else Watch()
+        self.register = register.EMPTY_REGISTER
+        self.lease_duration = of_ms(ctx.startup['lease_ms']) if 'lease_ms' in ctx.startup else DEFAULT_LEASE
+        self.watch = (
+            Watch(silence_limit=of_ms(ctx.startup['silent_ms'])) if 'silent_ms' in ctx.startup else Watch()
+        )
         self.placement_changed: asyncio.Future | None = None  # done when the placement has changed
         self.probe_leadership = probe_leadership.ProbeLeadership(ctx, self.name)
         self.ticks_needed = asyncio.Event()
@@ -269,8 +271,8 @@
         stores = {**self.register['old'], **self.register['now']}
         replies = await asyncio.gather(*[self.request_renewal(n, a) for n, a in sorted(stores.items())])
         replies = {n: r for n, r in zip(sorted(stores), replies, strict=False) if r is not None}
-        records = {n: register.read(r['word']) for n, r in replies.items()}
-        self.register, newest = register.agreed(self.register, records)
+        records = {n: register.decode_record(r['word']) for n, r in replies.items()}
+        self.register, newest = register.read_quorum(self.register, records)
         if newest is None:
             self.ctx.journal.count('renew.short')
             return
@@ -282,7 +284,7 @@
         update = {
             'generation': newest.generation,
             'epoch': max(self.state.epoch, newest.epoch),
-            'live': newest.live if self.state.lease is None else self.state.live_nodes,
+            'live': newest.routing_nodes if self.state.lease is None else self.state.live_nodes,
         }
         if newest.policy is not None:
             update.update(policy=newest.policy, leaving=newest.leaving)
@@ -335,10 +337,10 @@
     async def watch_peers(self) -> None:
         """Ping the peers that the core has assigned to this node, to detect their failure."""
         while True:
-            self.watch, pings = watch.due(self.watch, self.ctx.clock.now())
+            self.watch, pings = watch.due_pings(self.watch, self.ctx.clock.now())
             for name, address in pings:
                 self.spawn(self.ping_peer(name, address))
-            await self.ctx.clock.sleep(self.watch.silent / 3)
+            await self.ctx.clock.sleep(self.watch.silence_limit / 3)
 
     async def run_probe_leadership(self) -> None:
         """While replicas are suspected, campaign for a vacant probe leadership, and probe them as leader."""
@@ -364,10 +366,10 @@
     async def ping_peer(self, name: str, address: str) -> None:
         """Ping one peer and record its reply."""
         try:
-            reply = await self.ctx.net.ask(address, {'k': 'who'}, of_ms(watch.PING_LIMIT_MS))
+            reply = await self.ctx.net.ask(address, {'k': 'who'}, of_ms(watch.PING_TIMEOUT_MS))
         except Fault:
             return
-        self.watch = watch.heard(self.watch, name, reply, self.ctx.clock.now())
+        self.watch = watch.record_ping(self.watch, name, reply, self.ctx.clock.now())
 
     async def refresh_replica_list(self) -> None:
         """Ask the platform for the list of replicas while this node's list is too old.
@@ -443,7 +445,7 @@
         reply = with_policy(reply)
         self.fleet_id = reply['fleet']
         self.core_addresses = reply['core']
-        self.watch = watch.take(self.watch, reply, self.ctx.clock.now())
+        self.watch = watch.with_peers(self.watch, reply, self.ctx.clock.now())
         self.apply_placement(reply)
         if reply.get('register', self.register)['number'] > self.register['number']:
             self.register = reply['register']
@@ -499,7 +501,7 @@
             if remaining <= timedelta(0):
                 raise Fault(code, 'no store is known', wait_ms=1000)
             await self.ctx.clock.sleep(min(STORE_RETRY_DELAY, remaining))
-        return await self.call_partition(part_of(key, len(self.replica_sets)), command, deadline, code)
+        return await self.call_partition(partition_of(key, len(self.replica_sets)), command, deadline, code)
 
     async def call_partition(
         self, partition: str, command: dict, deadline: datetime, code: str = 'store_away'
@@ -1279,7 +1281,7 @@
 
     def handle_greeting(self, message: dict) -> dict:
         """Apply the addresses that a member of the fleet sends; the core's only while this node has no lease:
-        `node.handle_greeting({'fleet': 'f', 'core': [], 'register': register.NEVER})`."""
+        `node.handle_greeting({'fleet': 'f', 'core': [], 'register': register.EMPTY_REGISTER})`."""
         if self.fleet_id in (None, message['fleet']):
             if not admission_state.leased(self.state, self.ctx.clock.now()):
                 self.core_addresses, self.core_primary = message['core'], None
