--- a/features/startup.feature
+++ b/features/startup.feature
@@ -6,7 +6,7 @@
 
     Examples:
       | what                              | code | text                         |
-      | a file full of faults             | 2    | seeds: must name three       |
+      | a file with several errors        | 2    | seeds: must name three       |
       | no data folder                    | 2    | no such folder               |
       | a store's folder for a core       | 1    | the data folder is a store's |
       | an address that is in use         | 1    | in use                       |
@@ -20,12 +20,12 @@
     Then the first start said "torn or corrupt" and kept the file whole under another name
     And the second start found the folder of the first, and neither ended by itself
 
-  Scenario: libcurl may send again on a dead connection that it reuses; once-work may not
-    Given a server that takes a request on a kept connection and ends without an answer
+  Scenario: libcurl may resend on a dead connection that it reuses, but not a request that may be sent at most once
+    Given a server that reads a request on a kept-alive connection and closes it without a response
     When a request follows another on that connection
-    Then the server sees it more than once
-    When a request is sent as once-work
-    Then the server sees it exactly once and the outcome is "lost"
+    Then the server receives it more than once
+    When a request that may be sent at most once is sent
+    Then the server receives it exactly once and the outcome is "lost"
 
   Scenario: a routing node that waits for the stores has its lease as soon as they are back, without a core
     Given a simulated fleet that has lost its power
--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -380,7 +380,7 @@
     os.mkdir(data)
     body = lone_core_settings(data, port)
     context.other = None
-    if what == 'a file full of faults':
+    if what == 'a file with several errors':
         body.update(seeds=['127.0.0.1:1'], zone='a b', role='king', address='here')
     elif what == 'no data folder':
         body['data'] = os.path.join(folder, 'none')
@@ -516,7 +516,7 @@
             writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}')
 
 
-@given('a server that takes a request on a kept connection and ends without an answer')
+@given('a server that reads a request on a kept-alive connection and closes it without a response')
 def dead(context):
     context.dead = Dead()
 
@@ -542,17 +542,17 @@
     context.outcome = asyncio.run(on_dead(context, '/second', False))
 
 
-@then('the server sees it more than once')
+@then('the server receives it more than once')
 def more(context):
     assert context.dead.seen.count('/second') > 1, context.dead.seen
 
 
-@when('a request is sent as once-work')
+@when('a request that may be sent at most once is sent')
 def sent_once(context):
     context.outcome = asyncio.run(on_dead(context, '/only', True))
 
 
-@then('the server sees it exactly once and the outcome is "{code}"')
+@then('the server receives it exactly once and the outcome is "{code}"')
 def exactly_once(context, code):
     assert context.dead.seen.count('/only') == 1 and context.outcome == code, (
         context.dead.seen,
--- a/features/steps/listing.py
+++ b/features/steps/listing.py
@@ -33,7 +33,7 @@
     def __init__(self, platform: SimPlatform, world: World, machine, clock):
         self.platform, self.world, self.machine, self.clock = platform, world, machine, clock
 
-    async def look(self) -> dict:
+    async def poll(self) -> dict:
         at = self.clock.now().timestamp()
         if self.machine.name in self.platform.unreached:
             await self.world.sleep(0.5)
--- a/features/steps/mechanisms.py
+++ b/features/steps/mechanisms.py
@@ -7,7 +7,7 @@
 from behave import given, then
 from immutables import Map
 
-from quillstall.configuration.policy import MECHANISMS, check
+from quillstall.configuration.policy import MECHANISM_DEFAULTS, check
 from quillstall.dataplane.admission import choice, reducer, waiting
 from quillstall.dataplane.admission.admission_state import Pool, Service, State, Task
 from quillstall.dataplane.admission.messages import Health, Load, Word
@@ -130,6 +130,6 @@
 
 @then('a policy that switches off any one mechanism has no finding')
 def any_one_off(context):
-    for mechanism in MECHANISMS:
+    for mechanism in MECHANISM_DEFAULTS:
         switched = {'classes': {}, 'routes': {}, 'pools': {}, 'mechanisms': {mechanism: False}}
         assert check(switched) == [], (mechanism, check(switched))
--- a/src/quillstall/configuration/policy.py
+++ b/src/quillstall/configuration/policy.py
@@ -16,7 +16,7 @@
 
 Name = Annotated[str, re.compile(r'[A-Za-z0-9][A-Za-z0-9._-]{0,63}')]
 Address = Annotated[str, re.compile(r'\d{1,3}(\.\d{1,3}){3}:\d{1,5}')]
-Path = Annotated[str, re.compile(r'/[A-Za-z0-9._~/-]{0,199}')]
+UrlPath = Annotated[str, re.compile(r'/[A-Za-z0-9._~/-]{0,199}')]
 
 
 class Range(NamedTuple):
@@ -30,14 +30,14 @@
     most: float
 
 
-Span = Annotated[int, Range(1, 600_000)]
+DurationMs = Annotated[int, Range(1, 600_000)]
 
 
 class ClassPolicy(TypedDict):
     """A service class: its promise and its share of model capacity in hundredths."""
 
     share: Annotated[int, Range(1, 100)]
-    deadline_ms: Span
+    deadline_ms: DurationMs
     urgent: NotRequired[bool]
     tokens_per_minute: NotRequired[Annotated[int, Range(1, 10**12)]]
 
@@ -47,9 +47,9 @@
     {
         'class': Required[Name],
         'pool': Required[Name],
-        'deadline_ms': NotRequired[Span],
+        'deadline_ms': NotRequired[DurationMs],
         'max_tokens': NotRequired[Annotated[int, Range(1, 1_000_000)]],
-        'service_ms': NotRequired[Span],
+        'service_ms': NotRequired[DurationMs],
         'repeat': NotRequired[bool],
     },
 )
@@ -59,8 +59,8 @@
     """One path of a service; `repeat` says whether its work may be done twice."""
 
     repeat: bool
-    deadline_ms: NotRequired[Span]
-    service_ms: NotRequired[Span]
+    deadline_ms: NotRequired[DurationMs]
+    service_ms: NotRequired[DurationMs]
 
 
 ServicePolicy = TypedDict(
@@ -68,7 +68,7 @@
     {
         'class': Required[Name],
         'pool': Required[Name],
-        'paths': Required[dict[Path, PathPolicy]],
+        'paths': Required[dict[UrlPath, PathPolicy]],
     },
 )
 
@@ -105,7 +105,7 @@
         'stream': NotRequired[bool],
         'resume': NotRequired[bool],
         'attempts': NotRequired[Annotated[int, Range(1, 100)]],
-        'timeout_ms': Required[Span],
+        'timeout_ms': Required[DurationMs],
         'target_ms': NotRequired[Annotated[float, Range(0, 600_000)]],
         'gap_ms': NotRequired[Annotated[float, Range(0, 600_000)]],
         'keep': NotRequired[bool],
@@ -122,8 +122,8 @@
 
     head_bytes: NotRequired[Annotated[int, Range(256, 10**9)]]
     body_bytes: NotRequired[Annotated[int, Range(1, 10**9)]]
-    head_ms: NotRequired[Span]
-    idle_ms: NotRequired[Span]
+    head_ms: NotRequired[DurationMs]
+    idle_ms: NotRequired[DurationMs]
 
 
 class AdmissionPolicy(TypedDict):
@@ -177,7 +177,7 @@
     version: NotRequired[Annotated[int, Range(1, 10**15)]]
 
 
-ADMISSION = {
+ADMISSION_DEFAULTS = {
     'newest_first_at': 0.5,
     'fifo_at': 0.2,
     'retry_floor_ms': 200,
@@ -186,24 +186,26 @@
     'retry_share': 0.2,
     'warm_slack': 0.25,
 }
-MECHANISMS = dict.fromkeys(Mechanisms.__annotations__, True)  # all are on unless a policy says otherwise
-KEEPING_S = 900
-ONCE_KEEPING_S = 86_400
+MECHANISM_DEFAULTS = dict.fromkeys(
+    Mechanisms.__annotations__, True
+)  # all are on unless a policy says otherwise
+DEFAULT_TURN_RETENTION_S = 900
+DEFAULT_KEY_RETENTION_S = 86_400
 
 Finding = tuple[str, str]
 
 
-def walk(place: str, value: Any, want: Any, out: list[Finding]) -> None:
+def validate(place: str, value: Any, want: Any, out: list[Finding]) -> None:
     """Collect what is wrong with a value against a type.
 
-    >>> out = []; walk('a', {'share': 0, 'x': 1}, ClassPolicy, out); out
+    >>> out = []; validate('a', {'share': 0, 'x': 1}, ClassPolicy, out); out
     [('a.share', 'is 0, must be from 1 to 100'), ('a.deadline_ms', 'is missing'), ('a.x', 'is not a known field')]
     """
     kind = get_origin(want)
     if kind is Annotated:
         base, *rules = get_args(want)
         before = len(out)
-        walk(place, value, base, out)
+        validate(place, value, base, out)
         if len(out) > before:
             return
         for rule in rules:
@@ -212,7 +214,7 @@
             if isinstance(rule, re.Pattern) and not rule.fullmatch(value):
                 out.append((place, f'is {value!r}, must look like {rule.pattern}'))
     elif kind in (Required, NotRequired):
-        walk(place, value, get_args(want)[0], out)
+        validate(place, value, get_args(want)[0], out)
     elif kind is Literal:
         if value not in get_args(want):
             out.append((place, f'is {value!r}, must be one of {", ".join(get_args(want))}'))
@@ -222,8 +224,8 @@
             return
         key_kind, item_kind = get_args(want)
         for key in value:
-            walk(f'{place}.{key}', key, key_kind, out)
-            walk(f'{place}.{key}', value[key], item_kind, out)
+            validate(f'{place}.{key}', key, key_kind, out)
+            validate(f'{place}.{key}', value[key], item_kind, out)
     elif isinstance(want, type) and hasattr(want, '__required_keys__'):
         if not isinstance(value, dict):
             out.append((place, 'must be an object'))
@@ -232,7 +234,7 @@
         at = f'{place}.' if place else ''
         for key, hint in hints.items():
             if key in value:
-                walk(at + key, value[key], hint, out)
+                validate(at + key, value[key], hint, out)
             elif key in want.__required_keys__:
                 out.append((at + key, 'is missing'))
         for key in value:
@@ -257,7 +259,7 @@
     [('', 'must be an object')]
     """
     out: list[Finding] = []
-    walk('', policy, Policy, out)
+    validate('', policy, Policy, out)
     if out:
         return out
     classes, pools = policy['classes'], policy['pools']
@@ -282,7 +284,7 @@
             if replica['address'] in seen:
                 out.append((f'{place}.address', f'the address stands in {seen[replica["address"]]} too'))
             seen[name] = seen[replica['address']] = place
-    rules = {**ADMISSION, **policy.get('admission', {})}
+    rules = {**ADMISSION_DEFAULTS, **policy.get('admission', {})}
     if rules['fifo_at'] > rules['newest_first_at']:
         out.append(('admission.fifo_at', 'is above newest_first_at'))
     if rules['retry_floor_ms'] > rules['retry_ceiling_ms']:
@@ -324,10 +326,10 @@
     return out
 
 
-def merge(base: Any, patch: Any) -> Any:
+def merge_patch(base: Any, patch: Any) -> Any:
     """A JSON merge patch (RFC 7396) laid over a document.
 
-    >>> merge({'a': {'b': 1, 'c': 2}}, {'a': {'b': None, 'd': 3}})
+    >>> merge_patch({'a': {'b': 1, 'c': 2}}, {'a': {'b': None, 'd': 3}})
     {'a': {'c': 2, 'd': 3}}
     """
     if not isinstance(patch, dict):
@@ -337,5 +339,5 @@
         if value is None:
             out.pop(key, None)
         else:
-            out[key] = merge(out.get(key), value)
+            out[key] = merge_patch(out.get(key), value)
     return out
--- a/src/quillstall/configuration/startup.py
+++ b/src/quillstall/configuration/startup.py
@@ -5,7 +5,7 @@
 import os
 from typing import Annotated, Any, Literal, NotRequired, TypedDict
 
-from quillstall.configuration.policy import Address, Name, Range, walk
+from quillstall.configuration.policy import Address, Name, Range, validate
 from quillstall.runtime.errors import Fault
 
 
@@ -37,10 +37,10 @@
     drain_ms: NotRequired[int]
 
 
-def address_ok(text: Any) -> str:
+def address_error(text: Any) -> str:
     """What is wrong with an address, or nothing.
 
-    >>> address_ok('127.0.0.1:7000'), address_ok('127.0.0.300:1'), address_ok('127.0.0.1:99999')
+    >>> address_error('127.0.0.1:7000'), address_error('127.0.0.300:1'), address_error('127.0.0.1:99999')
     ('', 'is no IP number', 'has no port from 1 to 65535')
     """
     if not isinstance(text, str) or ':' not in text:
@@ -70,7 +70,7 @@
     [('http', 'is the same as address'), ('seeds', 'must name three addresses'), ('data', 'a core needs a data folder')]
     """
     out: list[tuple[str, str]] = []
-    walk('', startup, Startup, out)
+    validate('', startup, Startup, out)
     if not isinstance(startup, dict):
         return out
     if not any(k in startup for k in ('http', 'gateway', 'control')) and startup.get('role') != 'store':
@@ -78,10 +78,10 @@
     for key in ('address', 'http', 'listen', 'gateway', 'ready', 'control'):
         if (
             isinstance(startup.get(key), str)
-            and address_ok(startup[key])
+            and address_error(startup[key])
             and not any(p == key for p, _ in out)
         ):
-            out.append((key, address_ok(startup[key])))
+            out.append((key, address_error(startup[key])))
     if startup.get('http') and startup.get('http') == startup.get('address'):
         out.append(('http', 'is the same as address'))
     if isinstance(startup.get('zones'), list) and startup.get('zone') not in startup['zones']:
@@ -93,8 +93,8 @@
         if len(set(map(str, seeds))) != len(seeds):
             out.append(('seeds', 'names one address twice'))
         for n, seed in enumerate(seeds):
-            if address_ok(seed):
-                out.append((f'seeds.{n}', address_ok(seed)))
+            if address_error(seed):
+                out.append((f'seeds.{n}', address_error(seed)))
     if startup.get('role') in ('core', 'store'):
         if not startup.get('data'):
             out.append(('data', f'a {startup["role"]} needs a data folder'))
--- a/src/quillstall/controlplane/book.py
+++ b/src/quillstall/controlplane/book.py
@@ -6,7 +6,7 @@
 
 from immutables import Map
 
-from quillstall.configuration.policy import check, merge
+from quillstall.configuration.policy import check, merge_patch
 from quillstall.controlplane import requests
 from quillstall.replication.rendezvous import apart
 from quillstall.runtime.errors import Fault
@@ -102,7 +102,7 @@
         raise Fault(
             'conflict', f'generation {gen} is in force, the base was {c["base"]}', more={'generation': gen}
         )
-    body = merge(rows.get('policy') or {}, c['body']) if c.get('partial') else c['body']
+    body = merge_patch(rows.get('policy') or {}, c['body']) if c.get('partial') else c['body']
     findings = check(body)
     if findings:
         raise Fault('invalid', f'{len(findings)} findings', tuple(findings))
--- a/src/quillstall/controlplane/run.py
+++ b/src/quillstall/controlplane/run.py
@@ -98,7 +98,7 @@
     while True:
         if core_state.is_primary(host.state):
             try:
-                host.queue.put_nowait(Listing(await ctx.lister.look()))
+                host.queue.put_nowait(Listing(await ctx.lister.poll()))
             except Fault as e:
                 ctx.journal.count(f'list.{e.code}')
         await ctx.clock.sleep(LOOK_EVERY)
--- a/src/quillstall/dataplane/admission/admission_state.py
+++ b/src/quillstall/dataplane/admission/admission_state.py
@@ -6,7 +6,7 @@
 
 from immutables import Map
 
-from quillstall.configuration.policy import ADMISSION, MECHANISMS
+from quillstall.configuration.policy import ADMISSION_DEFAULTS, MECHANISM_DEFAULTS
 from quillstall.dataplane.ledger import Ledger
 
 SAMPLE = timedelta(seconds=1)
@@ -148,7 +148,7 @@
 
 def rules(state: State) -> dict:
     """The numbers of the policy, with our defaults: `rules(state)['rounds']`."""
-    return {**ADMISSION, **state.policy.get('admission', {})}
+    return {**ADMISSION_DEFAULTS, **state.policy.get('admission', {})}
 
 
 def uses(state: State, mechanism: str) -> bool:
@@ -157,7 +157,7 @@
     >>> uses(State(), 'zones'), uses(State(policy={'mechanisms': {'zones': False}}), 'zones')
     (True, False)
     """
-    return state.policy.get('mechanisms', MECHANISMS).get(mechanism, MECHANISMS[mechanism])
+    return state.policy.get('mechanisms', MECHANISM_DEFAULTS).get(mechanism, MECHANISM_DEFAULTS[mechanism])
 
 
 def replicas_of(state: State, pool: str) -> dict[str, dict]:
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -8,7 +8,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.queues import Queue
 
-from quillstall.configuration.policy import KEEPING_S, ONCE_KEEPING_S
+from quillstall.configuration.policy import DEFAULT_KEY_RETENTION_S, DEFAULT_TURN_RETENTION_S
 from quillstall.dataplane import duty, turnid
 from quillstall.dataplane.admission import (
     admission_state,
@@ -366,7 +366,7 @@
                 continue
             asked = now
             try:
-                self.tell(Listing(await self.ctx.lister.look()))
+                self.tell(Listing(await self.ctx.lister.poll()))
             except Fault as e:
                 self.ctx.journal.count(f'list.{e.code}')
 
@@ -559,7 +559,7 @@
         program = ask.program or (before.program if before else f'g-{self.fresh()}')
         if before and before.program != program:
             raise Fault('invalid', '1 finding', (('continues', 'is a turn of another program'),))
-        keeping = policy.get('keeping_s', KEEPING_S)
+        keeping = policy.get('keeping_s', DEFAULT_TURN_RETENTION_S)
         prompt = ask.prompt_tokens + (before.tokens if before else 0)
         name = self.fresh()
         task = Task(
@@ -976,7 +976,7 @@
     ) -> bool:
         """Mark once-work as begun, on two disks. True if the caller has been answered from what is kept."""
         until = (
-            self.ctx.clock.wall() + timedelta(seconds=policy.get('once_keeping_s', ONCE_KEEPING_S))
+            self.ctx.clock.wall() + timedelta(seconds=policy.get('once_keeping_s', DEFAULT_KEY_RETENTION_S))
         ).timestamp()
         command = {'op': 'once_begin', 'key': kept, 'digest': digest, 'run': name, 'until': until}
         try:
--- a/src/quillstall/testbed/scale.py
+++ b/src/quillstall/testbed/scale.py
@@ -15,7 +15,7 @@
 import cbor2
 from immutables import Map
 
-from quillstall.configuration.policy import check, merge
+from quillstall.configuration.policy import check, merge_patch
 from quillstall.controlplane import allot, core_state, leases, shelf
 from quillstall.network.web import fetch
 from quillstall.replication import group
@@ -625,7 +625,7 @@
     for key, work in (
         ('hold', lambda: leases.record_held_slots(state, node)),
         ('look', lambda: leases.allocation_changed(state, node.name, now)),
-        ('check', lambda: check(merge(whole, {'routes': {'t0000': {'max_tokens': 18}}}))),
+        ('check', lambda: check(merge_patch(whole, {'routes': {'t0000': {'max_tokens': 18}}}))),
     ):
         began = time.process_time()
         work()
--- a/src/quillstall/testbed/soak/member.py
+++ b/src/quillstall/testbed/soak/member.py
@@ -23,8 +23,8 @@
         self.clock = clock
         self.client = HttpClient(count, source)
 
-    async def look(self) -> dict:
-        """The list with the time of the look-up; Fault if it does not come: `await reader.look()`."""
+    async def poll(self) -> dict:
+        """The list with the time of the look-up; Fault if it does not come: `await reader.poll()`."""
         at = self.clock.now().timestamp()
         exchange = await self.client.open(
             self.address,
