--- a/features/startup.feature
+++ b/features/startup.feature
@@ -20,7 +20,7 @@
     Then the first start said "torn or corrupt" and kept the file whole under another name
     And the second start found the folder of the first, and neither ended by itself
 
-  Scenario: libcurl may resend on a dead connection that it reuses, but not a request that may be sent at most once
+  Scenario: libcurl may send again on a dead connection that it reuses, but not a request that may be sent at most once
     Given a server that reads a request on a kept-alive connection and closes it without a response
     When a request follows another on that connection
     Then the server receives it more than once
