--- a/src/quillstall/configuration/__init__.py
+++ b/src/quillstall/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the operator's policy, its rules and checks, and a process's startup settings."""
+"""The operator's policy, with its rules and checks, and the startup settings of a process."""
--- a/src/quillstall/configuration/policy.py
+++ b/src/quillstall/configuration/policy.py
@@ -1,4 +1,4 @@
-"""Policy: what operators declare, as typed dictionaries, and the small checker that reads them."""
+"""The policy that operators declare, as typed dictionaries, and its validation."""
 
 import re
 from typing import (
@@ -20,21 +20,21 @@
 
 
 class Range(NamedTuple):
-    """The numbers that a field takes.
+    """The inclusive range of a numeric field.
 
-    >>> Range(1, 5).most
+    >>> Range(1, 5).maximum
     5
     """
 
-    least: float
-    most: float
+    minimum: float
+    maximum: float
 
 
 DurationMs = Annotated[int, Range(1, 600_000)]
 
 
 class ClassPolicy(TypedDict):
-    """A service class: its promise and its share of model capacity in hundredths."""
+    """A service class: its deadline and its percentage of the model capacity."""
 
     share: Annotated[int, Range(1, 100)]
     deadline_ms: DurationMs
@@ -56,7 +56,7 @@
 
 
 class PathPolicy(TypedDict):
-    """One path of a service; `repeat` says whether its work may be done twice."""
+    """One path of a service; `repeat` says whether a request may be executed more than once."""
 
     repeat: bool
     deadline_ms: NotRequired[DurationMs]
@@ -74,7 +74,7 @@
 
 
 class ReplicaPolicy(TypedDict):
-    """One replica: where it is, how many tasks it takes at once, and the rate to begin with."""
+    """One replica: its address, how many tasks it runs concurrently, and the initial estimate of its rate."""
 
     address: Address
     slots: Annotated[int, Range(1, 10_000)]
@@ -82,14 +82,15 @@
 
 
 class PoolPolicy(TypedDict):
-    """Replicas that can stand in for each other. `listed`: they are not declared here, but stand in a
-    list that is asked for, and `replicas` is empty."""
+    """A pool of interchangeable replicas.
+
+    If it is `listed`, they are read from a polled list instead of being declared here, and `replicas` is empty."""
 
     kind: Literal['model', 'application']
     replicas: dict[Name, ReplicaPolicy]
     listed: NotRequired[bool]
     connections: NotRequired[Annotated[int, Range(1, 1_000_000)]]
-    own_keys: NotRequired[bool]  # its replicas keep their own record of operation keys
+    own_keys: NotRequired[bool]  # its replicas deduplicate by operation key themselves
     event_tokens: NotRequired[Annotated[int, Range(1, 1_000_000)]]
     memory_tokens: NotRequired[Annotated[int, Range(1, 10**12)]]
 
@@ -111,14 +112,14 @@
         'keep': NotRequired[bool],
         'affinity': NotRequired[
             bool
-        ],  # whether a session keeps to one pool; so it does where nothing is said
+        ],  # whether the requests of a session go to one pool; the default is true
         'keeping_s': NotRequired[Annotated[float, Range(0, 30 * 86400)]],
     },
 )
 
 
 class Limits(TypedDict):
-    """What callers may send, and how long they may take."""
+    """Limits on the size of requests and on how long callers may take to send them."""
 
     head_bytes: NotRequired[Annotated[int, Range(256, 10**9)]]
     body_bytes: NotRequired[Annotated[int, Range(1, 10**9)]]
@@ -127,7 +128,7 @@
 
 
 class AdmissionPolicy(TypedDict):
-    """The numbers of the admission path; see docs/policy.md."""
+    """The parameters of admission control; see docs/policy.md."""
 
     newest_first_at: NotRequired[Annotated[float, Range(0.05, 10_000)]]
     fifo_at: NotRequired[Annotated[float, Range(0.01, 10_000)]]
@@ -139,7 +140,7 @@
 
 
 class Mechanisms(TypedDict):
-    """The mechanisms of deciding, each of which may be switched off; see docs/policy.md."""
+    """The mechanisms of admission and routing decisions, each of which may be disabled; see docs/policy.md."""
 
     predicted_end: NotRequired[bool]
     prompt_memory: NotRequired[bool]
@@ -154,14 +155,14 @@
 
 
 class RulePolicy(TypedDict):
-    """A rule: work of which `when` is true is refused."""
+    """A rule: a task for which the expression `when` is true is refused with the text `refuse`."""
 
     when: str
     refuse: NotRequired[str]
 
 
 class Policy(TypedDict):
-    """The whole."""
+    """The whole policy of a fleet."""
 
     classes: dict[Name, ClassPolicy]
     routes: dict[Name, RoutePolicy]
@@ -186,158 +187,158 @@
     'retry_share': 0.2,
     'warm_slack': 0.25,
 }
-MECHANISM_DEFAULTS = dict.fromkeys(
-    Mechanisms.__annotations__, True
-)  # all are on unless a policy says otherwise
+MECHANISM_DEFAULTS = dict.fromkeys(Mechanisms.__annotations__, True)  # enabled unless disabled by the policy
 DEFAULT_TURN_RETENTION_S = 900
 DEFAULT_KEY_RETENTION_S = 86_400
 
 Finding = tuple[str, str]
 
 
-def validate(place: str, value: Any, want: Any, out: list[Finding]) -> None:
-    """Collect what is wrong with a value against a type.
+def validate(path: str, value: Any, expected_type: Any, findings: list[Finding]) -> None:
+    """Add to `findings` each violation of a type by a value and its parts.
 
-    >>> out = []; validate('a', {'share': 0, 'x': 1}, ClassPolicy, out); out
+    >>> findings = []; validate('a', {'share': 0, 'x': 1}, ClassPolicy, findings); findings
     [('a.share', 'is 0, must be from 1 to 100'), ('a.deadline_ms', 'is missing'), ('a.x', 'is not a known field')]
     """
-    kind = get_origin(want)
-    if kind is Annotated:
-        base, *rules = get_args(want)
-        before = len(out)
-        validate(place, value, base, out)
-        if len(out) > before:
+    origin = get_origin(expected_type)
+    if origin is Annotated:
+        base_type, *constraints = get_args(expected_type)
+        findings_before = len(findings)
+        validate(path, value, base_type, findings)
+        if len(findings) > findings_before:
             return
-        for rule in rules:
-            if isinstance(rule, Range) and not rule.least <= value <= rule.most:
-                out.append((place, f'is {value}, must be from {rule.least} to {rule.most}'))
-            if isinstance(rule, re.Pattern) and not rule.fullmatch(value):
-                out.append((place, f'is {value!r}, must look like {rule.pattern}'))
-    elif kind in (Required, NotRequired):
-        validate(place, value, get_args(want)[0], out)
-    elif kind is Literal:
-        if value not in get_args(want):
-            out.append((place, f'is {value!r}, must be one of {", ".join(get_args(want))}'))
-    elif kind is dict:
+        for constraint in constraints:
+            if isinstance(constraint, Range) and not constraint.minimum <= value <= constraint.maximum:
+                findings.append(
+                    (path, f'is {value}, must be from {constraint.minimum} to {constraint.maximum}')
+                )
+            if isinstance(constraint, re.Pattern) and not constraint.fullmatch(value):
+                findings.append((path, f'is {value!r}, must look like {constraint.pattern}'))
+    elif origin in (Required, NotRequired):
+        validate(path, value, get_args(expected_type)[0], findings)
+    elif origin is Literal:
+        if value not in get_args(expected_type):
+            findings.append((path, f'is {value!r}, must be one of {", ".join(get_args(expected_type))}'))
+    elif origin is dict:
         if not isinstance(value, dict):
-            out.append((place, 'must be an object'))
+            findings.append((path, 'must be an object'))
             return
-        key_kind, item_kind = get_args(want)
+        key_type, item_type = get_args(expected_type)
         for key in value:
-            validate(f'{place}.{key}', key, key_kind, out)
-            validate(f'{place}.{key}', value[key], item_kind, out)
-    elif isinstance(want, type) and hasattr(want, '__required_keys__'):
+            validate(f'{path}.{key}', key, key_type, findings)
+            validate(f'{path}.{key}', value[key], item_type, findings)
+    elif isinstance(expected_type, type) and hasattr(expected_type, '__required_keys__'):
         if not isinstance(value, dict):
-            out.append((place, 'must be an object'))
+            findings.append((path, 'must be an object'))
             return
-        hints = get_type_hints(want, include_extras=True)
-        at = f'{place}.' if place else ''
+        hints = get_type_hints(expected_type, include_extras=True)
+        prefix = f'{path}.' if path else ''
         for key, hint in hints.items():
             if key in value:
-                validate(at + key, value[key], hint, out)
-            elif key in want.__required_keys__:
-                out.append((at + key, 'is missing'))
+                validate(prefix + key, value[key], hint, findings)
+            elif key in expected_type.__required_keys__:
+                findings.append((prefix + key, 'is missing'))
         for key in value:
             if key not in hints:
-                out.append((at + str(key), 'is not a known field'))
-    elif want is float:
+                findings.append((prefix + str(key), 'is not a known field'))
+    elif expected_type is float:
         if isinstance(value, bool) or not isinstance(value, (int, float)) or value != value:
-            out.append((place, 'must be a number'))
-    elif want is int:
+            findings.append((path, 'must be a number'))
+    elif expected_type is int:
         if isinstance(value, bool) or not isinstance(value, int):
-            out.append((place, 'must be a whole number'))
-    elif not isinstance(value, want):
-        out.append((place, f'must be a {"text" if want is str else want.__name__}'))
+            findings.append((path, 'must be a whole number'))
+    elif not isinstance(value, expected_type):
+        findings.append((path, f'must be a {"text" if expected_type is str else expected_type.__name__}'))
 
 
 def check(policy: Any) -> list[Finding]:
-    """All findings in a policy, each with its place; none means that it can be in force.
+    """Return all findings in a policy, each with the path of its field; without any, it is valid.
 
     >>> check({'classes': {}, 'routes': {'q': {'class': 'c', 'pool': 'p'}}, 'pools': {}})
     [('routes.q.class', "no class 'c'"), ('routes.q.pool', "no pool 'p'")]
     >>> check([])
     [('', 'must be an object')]
     """
-    out: list[Finding] = []
-    validate('', policy, Policy, out)
-    if out:
-        return out
+    found: list[Finding] = []
+    validate('', policy, Policy, found)
+    if found:
+        return found
     classes, pools = policy['classes'], policy['pools']
-    total = sum(c['share'] for c in classes.values())
-    if total > 100:
-        out.append(('classes', f'the shares add up to {total}, must be 100 at most'))
+    total_share = sum(item['share'] for item in classes.values())
+    if total_share > 100:
+        found.append(('classes', f'the shares add up to {total_share}, must be 100 at most'))
     for group, kind in (('routes', 'model'), ('services', 'application')):
         for name, item in policy.get(group, {}).items():
-            place = f'{group}.{name}'
+            path = f'{group}.{name}'
             if item['class'] not in classes:
-                out.append((f'{place}.class', f'no class {item["class"]!r}'))
+                found.append((f'{path}.class', f'no class {item["class"]!r}'))
             if item['pool'] not in pools:
-                out.append((f'{place}.pool', f'no pool {item["pool"]!r}'))
+                found.append((f'{path}.pool', f'no pool {item["pool"]!r}'))
             elif pools[item['pool']]['kind'] != kind:
-                out.append((f'{place}.pool', f'pool {item["pool"]!r} is not of kind {kind}'))
-    seen: dict[str, str] = {}
+                found.append((f'{path}.pool', f'pool {item["pool"]!r} is not of kind {kind}'))
+    path_of: dict[str, str] = {}
     for pool, item in pools.items():
         for name, replica in item['replicas'].items():
-            place = f'pools.{pool}.replicas.{name}'
-            if name in seen:
-                out.append((place, f'the name stands in {seen[name]} too'))
-            if replica['address'] in seen:
-                out.append((f'{place}.address', f'the address stands in {seen[replica["address"]]} too'))
-            seen[name] = seen[replica['address']] = place
-    rules = {**ADMISSION_DEFAULTS, **policy.get('admission', {})}
-    if rules['fifo_at'] > rules['newest_first_at']:
-        out.append(('admission.fifo_at', 'is above newest_first_at'))
-    if rules['retry_floor_ms'] > rules['retry_ceiling_ms']:
-        out.append(('admission.retry_floor_ms', 'is above retry_ceiling_ms'))
-    out += http_findings(policy)
+            path = f'pools.{pool}.replicas.{name}'
+            if name in path_of:
+                found.append((path, f'the name stands in {path_of[name]} too'))
+            if replica['address'] in path_of:
+                found.append((f'{path}.address', f'the address stands in {path_of[replica["address"]]} too'))
+            path_of[name] = path_of[replica['address']] = path
+    admission = {**ADMISSION_DEFAULTS, **policy.get('admission', {})}
+    if admission['fifo_at'] > admission['newest_first_at']:
+        found.append(('admission.fifo_at', 'is above newest_first_at'))
+    if admission['retry_floor_ms'] > admission['retry_ceiling_ms']:
+        found.append(('admission.retry_floor_ms', 'is above retry_ceiling_ms'))
+    found += http_findings(policy)
     if policy.get('rules'):
         from quillstall.configuration.rules import (
-            findings,  # its library is heavy: only where there are rules
+            findings,  # imported only if there are rules: its library is costly to load
         )
 
-        out += findings(policy['rules'])
-    return out
+        found += findings(policy['rules'])
+    return found
 
 
 def http_findings(policy: dict) -> list[Finding]:
-    """What is wrong with the routes by host and path.
+    """Return the findings in the routes by host and path.
 
     >>> route = {'class': 'c', 'host': 'a', 'prefix': '/x/', 'pools': {'p': 0}, 'repeat': 'any', 'timeout_ms': 9}
     >>> http_findings({'classes': {'c': {}}, 'pools': {}, 'http_routes': {'r': route, 's': {**route, 'pools': {}}}})
     [('http_routes.r.pools.p', "no pool 'p'"), ('http_routes.r.pools', 'the weights add up to 0'), ('http_routes.s.prefix', 'host and prefix stand in http_routes.r too'), ('http_routes.s.pools', 'the weights add up to 0')]
     """
-    out: list[Finding] = []
-    seen: dict[tuple, str] = {}
+    findings: list[Finding] = []
+    path_of: dict[tuple, str] = {}
     for name, route in policy.get('http_routes', {}).items():
-        place = f'http_routes.{name}'
+        path = f'http_routes.{name}'
         if route['class'] not in policy['classes']:
-            out.append((f'{place}.class', f'no class {route["class"]!r}'))
+            findings.append((f'{path}.class', f'no class {route["class"]!r}'))
         if not (route['prefix'].startswith('/') and route['prefix'].endswith('/')):
-            out.append((f'{place}.prefix', 'must begin and end with a slash'))
-        where = (route['host'].lower(), route['prefix'])
-        if where in seen:
-            out.append((f'{place}.prefix', f'host and prefix stand in {seen[where]} too'))
-        seen.setdefault(where, place)
+            findings.append((f'{path}.prefix', 'must begin and end with a slash'))
+        host_and_prefix = (route['host'].lower(), route['prefix'])
+        if host_and_prefix in path_of:
+            findings.append((f'{path}.prefix', f'host and prefix stand in {path_of[host_and_prefix]} too'))
+        path_of.setdefault(host_and_prefix, path)
         for pool in route['pools']:
             if pool not in policy['pools']:
-                out.append((f'{place}.pools.{pool}', f'no pool {pool!r}'))
+                findings.append((f'{path}.pools.{pool}', f'no pool {pool!r}'))
         if sum(route['pools'].values()) <= 0:
-            out.append((f'{place}.pools', 'the weights add up to 0'))
-    return out
+            findings.append((f'{path}.pools', 'the weights add up to 0'))
+    return findings
 
 
-def merge_patch(base: Any, patch: Any) -> Any:
-    """A JSON merge patch (RFC 7396) laid over a document.
+def merge_patch(document: Any, patch: Any) -> Any:
+    """Return a document with a JSON merge patch (RFC 7396) applied.
 
     >>> merge_patch({'a': {'b': 1, 'c': 2}}, {'a': {'b': None, 'd': 3}})
     {'a': {'c': 2, 'd': 3}}
     """
     if not isinstance(patch, dict):
         return patch
-    out = dict(base) if isinstance(base, dict) else {}
+    result = dict(document) if isinstance(document, dict) else {}
     for key, value in patch.items():
         if value is None:
-            out.pop(key, None)
+            result.pop(key, None)
         else:
-            out[key] = merge_patch(out.get(key), value)
-    return out
+            result[key] = merge_patch(result.get(key), value)
+    return result
--- a/src/quillstall/configuration/startup.py
+++ b/src/quillstall/configuration/startup.py
@@ -1,4 +1,4 @@
-"""Startup: what a process is told when it starts, from a file and flags, checked as a whole."""
+"""The startup settings of a process, read from a file and flags and checked as a whole."""
 
 import ipaddress
 import json
@@ -16,18 +16,20 @@
     role: Literal['core', 'store', 'route']
     address: Address
     http: NotRequired[Address]
-    gateway: NotRequired[Address]  # where requests by host and path come in
-    ready: NotRequired[Address]  # where it is asked whether this node is ready
-    control: NotRequired[Address]  # another interface for operators
-    losses: NotRequired[Annotated[int, Range(1, 9)]]  # how many machines with a disk may be lost at once
-    lone: NotRequired[bool]  # whether a part is served on by what is left while it is repaired
-    silent_ms: NotRequired[Annotated[int, Range(100, 60_000)]]  # so long silent, a store is given up
-    lease_ms: NotRequired[Annotated[int, Range(500, 2500)]]  # how long a routing node may send unheard
-    founding: NotRequired[bool]  # whether this may be the fleet's first start
-    keys_s: NotRequired[Annotated[int, Range(1, 30 * 86400)]]  # how long operation keys are kept at least
+    gateway: NotRequired[Address]  # the listener for requests that are routed by host and path
+    ready: NotRequired[Address]  # the listener for readiness probes
+    control: NotRequired[Address]  # the listener of a second operator interface
+    losses: NotRequired[Annotated[int, Range(1, 9)]]  # machines with a disk that may be lost at the same time
+    lone: NotRequired[bool]  # whether a partition is served by its remaining members while it is repaired
+    silent_ms: NotRequired[Annotated[int, Range(100, 60_000)]]  # silence after which a store is given up
+    lease_ms: NotRequired[
+        Annotated[int, Range(500, 2500)]
+    ]  # how long a node may send without a renewal
+    founding: NotRequired[bool]  # whether this may be the first start of the fleet
+    keys_s: NotRequired[Annotated[int, Range(1, 30 * 86400)]]  # minimum retention of operation keys
     list_per_s: NotRequired[
         Annotated[float, Range(0.01, 10**6)]
-    ]  # how often all nodes together may ask for the list
+    ]  # polls of the replica list per second by all nodes together
     zone: Name
     zones: NotRequired[list]
     seeds: list
@@ -38,7 +40,7 @@
 
 
 def address_error(text: Any) -> str:
-    """What is wrong with an address, or nothing.
+    """Return what is wrong with an address, or an empty text.
 
     >>> address_error('127.0.0.1:7000'), address_error('127.0.0.300:1'), address_error('127.0.0.1:99999')
     ('', 'is no IP number', 'has no port from 1 to 65535')
@@ -56,73 +58,77 @@
 
 
 def check(startup: Any) -> list[tuple[str, str]]:
-    """All findings in a startup.
+    """Return all findings in startup settings, each with its field.
 
     >>> good = {'name': 'a', 'role': 'route', 'address': '127.0.0.1:1', 'http': '127.0.0.1:2', 'zone': 'z',
     ...         'seeds': ['127.0.0.1:3', '127.0.0.1:4', '127.0.0.1:5']}
     >>> check(good)
     []
-    >>> check({k: v for k, v in good.items() if k != 'http'})
+    >>> check({key: value for key, value in good.items() if key != 'http'})
     [('http', 'is missing')]
     >>> check({**good, 'zone': 'x', 'zones': ['z', 'y']})
     [('zone', 'is none of z, y')]
     >>> check({**good, 'http': '127.0.0.1:1', 'role': 'core', 'seeds': ['127.0.0.1:3']})
     [('http', 'is the same as address'), ('seeds', 'must name three addresses'), ('data', 'a core needs a data folder')]
     """
-    out: list[tuple[str, str]] = []
-    validate('', startup, Startup, out)
+    findings: list[tuple[str, str]] = []
+    validate('', startup, Startup, findings)
     if not isinstance(startup, dict):
-        return out
-    if not any(k in startup for k in ('http', 'gateway', 'control')) and startup.get('role') != 'store':
-        out.append(('http', 'is missing'))
+        return findings
+    if not any(key in startup for key in ('http', 'gateway', 'control')) and startup.get('role') != 'store':
+        findings.append(('http', 'is missing'))
     for key in ('address', 'http', 'listen', 'gateway', 'ready', 'control'):
         if (
             isinstance(startup.get(key), str)
             and address_error(startup[key])
-            and not any(p == key for p, _ in out)
+            and not any(field == key for field, _ in findings)
         ):
-            out.append((key, address_error(startup[key])))
+            findings.append((key, address_error(startup[key])))
     if startup.get('http') and startup.get('http') == startup.get('address'):
-        out.append(('http', 'is the same as address'))
+        findings.append(('http', 'is the same as address'))
     if isinstance(startup.get('zones'), list) and startup.get('zone') not in startup['zones']:
-        out.append(('zone', f'is none of {", ".join(map(str, startup["zones"]))}'))
+        findings.append(('zone', f'is none of {", ".join(map(str, startup["zones"]))}'))
     seeds = startup.get('seeds')
     if isinstance(seeds, list):
         if len(seeds) != 3:
-            out.append(('seeds', 'must name three addresses'))
+            findings.append(('seeds', 'must name three addresses'))
         if len(set(map(str, seeds))) != len(seeds):
-            out.append(('seeds', 'names one address twice'))
-        for n, seed in enumerate(seeds):
+            findings.append(('seeds', 'names one address twice'))
+        for index, seed in enumerate(seeds):
             if address_error(seed):
-                out.append((f'seeds.{n}', address_error(seed)))
+                findings.append((f'seeds.{index}', address_error(seed)))
     if startup.get('role') in ('core', 'store'):
         if not startup.get('data'):
-            out.append(('data', f'a {startup["role"]} needs a data folder'))
+            findings.append(('data', f'a {startup["role"]} needs a data folder'))
         elif not os.path.isdir(startup['data']):
-            out.append(('data', f'{startup["data"]}: no such folder; make it first'))
+            findings.append(('data', f'{startup["data"]}: no such folder; make it first'))
         elif not os.access(startup['data'], os.W_OK):
-            out.append(('data', f'{startup["data"]}: cannot be written'))
+            findings.append(('data', f'{startup["data"]}: cannot be written'))
     elif startup.get('data'):
-        out.append(('data', 'a routing node keeps nothing on disk'))
-    return out
+        findings.append(('data', 'a routing node keeps nothing on disk'))
+    return findings
 
 
 def read(path: str | None, flags: dict[str, Any]) -> dict:
-    """The startup of a file with flags laid over it; Fault 'startup' with every finding.
+    """Return the startup settings of a file, overridden by flags; Fault 'startup' with all findings.
 
     >>> read(None, {'name': 'a b'})
     Traceback (most recent call last):
     quillstall.runtime.errors.Fault: startup: 6 findings
     """
-    body: dict = {}
+    settings: dict = {}
     if path:
         try:
             with open(path, encoding='utf-8') as file:
-                body = json.load(file)
+                settings = json.load(file)
         except (OSError, ValueError) as e:
             raise Fault('startup', f'{path}: {e}', ((path, str(e)),)) from e
-    body = {**body, **{k: v for k, v in flags.items() if v is not None}} if isinstance(body, dict) else body
-    findings = check(body)
+    settings = (
+        {**settings, **{key: value for key, value in flags.items() if value is not None}}
+        if isinstance(settings, dict)
+        else settings
+    )
+    findings = check(settings)
     if findings:
         raise Fault('startup', f'{len(findings)} findings', tuple(findings))
-    return body
+    return settings
