--- a/features/operators.feature
+++ b/features/operators.feature
@@ -54,7 +54,7 @@
     And after one more change the older form is gone and each still has its first answer
 
   Scenario: the first change is acknowledged again after 260 more, a restart and a lost disk
-    Given the platform's interface of a simulated core
+    Given the platform's operator interface of a simulated core
     When 260 changes follow the first, every core is killed, and later the primary loses its disk
     Then the first and the tenth sent again are acknowledged at every core after each of these
     And the last stays in force
@@ -62,7 +62,7 @@
   # ---- a core that is cut off
 
   Scenario Outline: a core that is cut off gives no clear answer, and gives it soon: <cut>
-    Given the platform's interface of a simulated core
+    Given the platform's operator interface of a simulated core
     When the core's primary is cut off for 20 seconds, <cut>, and every order is sent to every core
     Then every order was answered or left without a clear answer within 0.8 seconds
     And the one that was cut off answered none from what it last knew
@@ -75,12 +75,12 @@
       | from what it should hear  |
 
   Scenario: a store is not refused by a primary that has only just taken over
-    Given the platform's interface of a simulated core
+    Given the platform's operator interface of a simulated core
     When the core's primary is killed, and a store is to be retired all the while
     Then the order was never refused
 
   Scenario: an order that takes long is acknowledged when sent again
-    Given the platform's interface of a simulated core
+    Given the platform's operator interface of a simulated core
     When a routing node freezes, and a change is sent again and again until it has a clear answer
     Then it was acknowledged within 4 seconds, at no try later than 0.8 seconds
 
@@ -106,7 +106,7 @@
   # ---- many orders, and primaries that die
 
   Scenario Outline: eight orders under way while primaries come and go, seed <seed>
-    Given the platform's interface of a simulated core
+    Given the platform's operator interface of a simulated core
     When operators send 8 orders at a time while the primary <trouble>, seed <seed>
     Then the whole history is linearizable
     And at least 10 changes were acknowledged
@@ -122,17 +122,17 @@
       | freezes                              | 7    |
 
   Scenario: one number with two bodies at two cores in one instant
-    Given the platform's interface of a simulated core
+    Given the platform's operator interface of a simulated core
     When 20 times two operators send one number with different bodies at two cores at once, and both again
     Then each time one is acknowledged, both times, and the other is refused, both times
 
   Scenario: a patch sent again after its base has moved on
-    Given the platform's interface of a simulated core
+    Given the platform's operator interface of a simulated core
     When a patch whose answer is lost is sent again after two more changes
     Then it is acknowledged, and a patch that was never taken is refused
 
   Scenario: the judge can fail: a core that forgets what it has taken
-    Given the platform's interface of a simulated core
+    Given the platform's operator interface of a simulated core
     And a core that records no order
     When operators send 8 orders at a time while the primary is killed between disk and answer, seed 1
     Then the whole history is not linearizable
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -10,7 +10,7 @@
 import cbor2
 from behave import given, then, when
 from immutables import Map
-from platform_folder import FIRST, document, rule
+from platform_folder import FIRST_CONFIG, document, rule
 
 from quillstall.controlplane import book, core
 from quillstall.replication.group import Op, Seat, lay
@@ -298,7 +298,7 @@
         start = self.seconds()
         status, told = 0, None
         if self.desks.town.machines[f'core{core}'].up:
-            work = asyncio.ensure_future(self.desks.ask(method, path, body, match, core))
+            work = asyncio.ensure_future(self.desks.request(method, path, body, match, core))
             done, _ = await asyncio.wait((work,), timeout=patience)
             if done and not work.cancelled():  # else its core was killed
                 status, told = work.result().status, work.result().body
@@ -392,7 +392,7 @@
     async def script(desks):
         town = desks.town
         context.again = []
-        assert (await desks.put(FIRST, 0)).status == 200
+        assert (await desks.put(FIRST_CONFIG, 0)).status == 200
         bodies = [{'revision': 6 + n, 'marker': n} for n in range(count)]
         for body in bodies:
             got = await desks.patch(body, body['revision'] - 1)
@@ -400,7 +400,7 @@
 
         async def again():
             for at in CORES:
-                context.again.append((await desks.put(FIRST, 0, at)).status)
+                context.again.append((await desks.put(FIRST_CONFIG, 0, at)).status)
                 context.again.append((await desks.patch(bodies[9], bodies[9]['revision'] - 1, at)).status)
             context.shown = (await desks.show()).get('marker')
 
--- a/features/steps/platform_folder.py
+++ b/features/steps/platform_folder.py
@@ -1,4 +1,4 @@
-"""Steps for the folder that translates for the users' platform."""
+"""Steps for the adapter to the users' platform in `platform/`."""
 
 import asyncio
 import doctest
@@ -18,7 +18,7 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 FOLDER = os.path.join(ROOT, 'platform')
-NAMES = (
+PLATFORM_NAMES = (
     'X-Quillstall-Request-Id X-Quillstall-Deadline-Ms X-Quillstall-Operation-Key X-Quillstall-Program-Id '
     'X-Quillstall-Session-Id X-Quillstall-Program-Deadline-Ms X-Quillstall-Token-Budget X-Quillstall-Token-Usage '
     'X-Quillstall-Prompt-Prefix X-Quillstall-Previous-Turn X-Quillstall-Target-Instance X-Quillstall-Not-Executed '
@@ -33,114 +33,120 @@
 ).split()
 
 
-def module(name):
-    """A module of the folder, which is no package."""
+def import_platform_module(name):
+    """Import a module of the folder, which is not a package."""
     if FOLDER not in sys.path:
         sys.path.append(FOLDER)
     return importlib.import_module(name)
 
 
-def files(top):
-    for at, _, names in os.walk(top):
+def python_files(folder):
+    for directory, _, names in os.walk(folder):
         for name in sorted(names):
             if name.endswith('.py'):
-                with open(os.path.join(at, name), encoding='utf-8') as file:
-                    yield os.path.join(at, name), file.read()
+                with open(os.path.join(directory, name), encoding='utf-8') as file:
+                    yield os.path.join(directory, name), file.read()
 
 
-# ---- its form
+# ---- structure
 
 
-@when("the examples of the platform's folder are run")
+@when("the doctests of the platform's folder are run")
 def run_folder_examples(context):
     context.example_count = context.example_bad = 0
-    for path, _ in files(FOLDER):
-        found = doctest.testmod(module(os.path.basename(path)[:-3]))
-        context.example_count += found.attempted
-        context.example_bad += found.failed
+    for path, _ in python_files(FOLDER):
+        results = doctest.testmod(import_platform_module(os.path.basename(path)[:-3]))
+        context.example_count += results.attempted
+        context.example_bad += results.failed
 
 
-def foreign(text):
-    """The platform's names that stand in a text, as words of their own."""
-    return [n for n in NAMES if re.search(rf'(?<![\w-]){re.escape(n)}(?![\w-])', text, re.I)]
+def platform_names_in(text):
+    """Return the platform's names that appear as whole words in a text."""
+    return [
+        name for name in PLATFORM_NAMES if re.search(rf'(?<![\w-]){re.escape(name)}(?![\w-])', text, re.I)
+    ]
 
 
 @then('no header, setting or field of the platform appears under src')
-def none_foreign(context):
-    found = {path: foreign(text) for path, text in files(os.path.join(ROOT, 'src')) if foreign(text)}
+def no_platform_names(context):
+    found = {
+        path: platform_names_in(text)
+        for path, text in python_files(os.path.join(ROOT, 'src'))
+        if platform_names_in(text)
+    }
     assert not found, found
 
 
-@then('such a name would be found')
-def would_be_found(context):
-    assert set(foreign("h['x-quillstall-model'], row.get('target_gap_ms')")) == {
+@then('the check finds such a name')
+def check_finds_names(context):
+    assert set(platform_names_in("h['x-quillstall-model'], row.get('target_gap_ms')")) == {
         'X-Quillstall-Model',
         'target_gap_ms',
     }
-    used = '\n'.join(text for _, text in files(FOLDER))
-    assert len(foreign(used)) > 30, foreign(used)
+    sources = '\n'.join(text for _, text in python_files(FOLDER))
+    assert len(platform_names_in(sources)) > 30, platform_names_in(sources)
 
 
-@then("the platform's folder has under 1200 lines, no package mark and no module called platform")
-def small(context):
-    assert sum(text.count('\n') for _, text in files(FOLDER)) < 1200
-    assert not {'__init__.py', 'platform.py'} & {os.path.basename(path) for path, _ in files(FOLDER)}
+@then("the platform's folder has under 1200 lines, no __init__.py and no module called platform")
+def stays_small(context):
+    assert sum(text.count('\n') for _, text in python_files(FOLDER)) < 1200
+    assert not {'__init__.py', 'platform.py'} & {os.path.basename(path) for path, _ in python_files(FOLDER)}
     assert not os.path.isdir(os.path.join(FOLDER, 'platform'))
 
 
-# ---- the operator
+# ---- the operator interface
 
 
-class Way:
-    """The way back of one order."""
+class RecordedResponse:
+    """Records the response to one request."""
 
     async def whole(self, status, headers, body):
         self.status, self.body = status, json.loads(body)
 
 
-class Desks:
-    """The platform's interface at each core of a simulated deployment."""
+class OperatorClient:
+    """A client of the platform's operator interface at each core of a simulated deployment."""
 
     def __init__(self, town):
         self.town = town
 
-    async def ask(self, method, path, body=None, match=None, at=0):
-        orders = module('orders').Orders
-        host = self.town.hosts[f'core{at}']
-        heads = HTTPHeaders({} if match is None else {'If-Match': str(match)})
-        data = body if isinstance(body, bytes) else b'' if body is None else json.dumps(body).encode()
-        way = Way()
-        work = self.town.machines[f'core{at}'].spawn(
-            orders(host.ctx, host).serve(Inbound(method, path, heads, data), way)
+    async def request(self, method, path, body=None, if_match=None, core=0):
+        operator_api = import_platform_module('orders').OperatorApi
+        host = self.town.hosts[f'core{core}']
+        headers = HTTPHeaders({} if if_match is None else {'If-Match': str(if_match)})
+        content = body if isinstance(body, bytes) else b'' if body is None else json.dumps(body).encode()
+        response = RecordedResponse()
+        task = self.town.machines[f'core{core}'].spawn(
+            operator_api(host.ctx, host).serve(Inbound(method, path, headers, content), response)
         )
         async with asyncio.timeout(30):
-            await work
-        return way
+            await task
+        return response
 
-    async def put(self, document, match=None, at=0):
-        return await self.ask('PUT', '/config', document, match, at)
+    async def put(self, document, if_match=None, core=0):
+        return await self.request('PUT', '/config', document, if_match, core)
 
-    async def patch(self, body, match=None, at=0):
-        return await self.ask('PATCH', '/config', body, match, at)
+    async def patch(self, body, if_match=None, core=0):
+        return await self.request('PATCH', '/config', body, if_match, core)
 
-    async def show(self, at=0):
-        got = await self.ask('GET', '/config', at=at)
-        assert got.status == 200, (got.status, got.body)
-        return got.body
+    async def show(self, core=0):
+        response = await self.request('GET', '/config', core=core)
+        assert response.status == 200, (response.status, response.body)
+        return response.body
 
 
-def play(context, script):
-    """Run a script against the interface, in a world with a core, stores and routing nodes."""
+def run_script(context, script):
+    """Run a script against the operator interface of a simulated deployment and return its result."""
 
     async def main(world):
         town = Town(world, DEPLOYS['cartalume']())
         await town.open()
-        return await script(Desks(town))
+        return await script(OperatorClient(town))
 
     return World.play(1, main)
 
 
-def rule(name, prefix, **more):
+def rule(name, prefix, **fields):
     return {
         'name': name,
         'hostname': 'h.example',
@@ -151,7 +157,7 @@
         'priority': 1,
         'backend': 'b1',
         'max_attempts': 2,
-        **more,
+        **fields,
     }
 
 
@@ -181,164 +187,172 @@
     }
 
 
-def split(*weights):
-    out = rule(
-        'r1', '/a/', traffic_split=[{'backend': f'b{n}', 'weight': w} for n, w in enumerate(weights, 1)]
+def split_rule(*weights):
+    result = rule(
+        'r1',
+        '/a/',
+        traffic_split=[{'backend': f'b{n}', 'weight': weight} for n, weight in enumerate(weights, 1)],
     )
-    del out['backend']
-    return out
+    del result['backend']
+    return result
 
 
-def less(row, key):
-    return {k: v for k, v in row.items() if k != key}
+def without_key(row, key):
+    return {field: value for field, value in row.items() if field != key}
 
 
-FIRST = document(5)
-INVALID = {
+FIRST_CONFIG = document(5)
+INVALID_CONFIGS = {
     'cut short': (json.dumps(document(7)).encode()[:-9], 5),
     'not an object': (b'[]', 5),
-    'no routes at all': (less(document(7), 'routing_rules'), 5),
-    'unknown service': (document(7, [rule('r1', '/a/', backend='b9')]), 5),
+    'no list of routes': (without_key(document(7), 'routing_rules'), 5),
+    'unknown backend': (document(7, [rule('r1', '/a/', backend='b9')]), 5),
     'same host and prefix': (document(7, [rule('r1', '/a/'), rule('r2', '/a/')]), 5),
-    'weights that add up to 0': (document(7, [split(0, 0)]), 5),
-    'weight below 0': (document(7, [split(2, -1)]), 5),
+    'weights that add up to 0': (document(7, [split_rule(0, 0)]), 5),
+    'weight below 0': (document(7, [split_rule(2, -1)]), 5),
     'timeout 0': (document(7, [rule('r1', '/a/', timeout_ms=0)]), 5),
-    'no timeout': (document(7, [less(rule('r1', '/a/'), 'timeout_ms')]), 5),
-    'unknown type': (document(7, [rule('r1', '/a/', route_type='other')]), 5),
-    'timeout beyond counting': (json.dumps(document(7)).replace('900', '1e999', 1).encode(), 5),
-    'timeout not a number': (json.dumps(document(7)).replace('900', 'NaN', 1).encode(), 5),
-    'engine of no numbers': (
+    'no timeout': (document(7, [without_key(rule('r1', '/a/'), 'timeout_ms')]), 5),
+    'unknown route type': (document(7, [rule('r1', '/a/', route_type='other')]), 5),
+    'infinite timeout': (json.dumps(document(7)).replace('900', '1e999', 1).encode(), 5),
+    'timeout is NaN': (json.dumps(document(7)).replace('900', 'NaN', 1).encode(), 5),
+    'engine size is a text': (
         document(7, None, [{**backend('b1'), 'engine': {'kv_capacity_tokens': 'x'}}, backend('b2')]),
         5,
     ),
-    'weight beyond counting': (json.dumps(document(7, [split(77, 1)])).replace('77', '1e999').encode(), 5),
+    'infinite weight': (json.dumps(document(7, [split_rule(77, 1)])).replace('77', '1e999').encode(), 5),
     'prefix without slashes': (document(7, [rule('r1', 'a')]), 5),
-    'route of no service': (document(7, [less(rule('r1', '/a/'), 'backend')]), 5),
+    'route without a backend': (document(7, [without_key(rule('r1', '/a/'), 'backend')]), 5),
     'no body': (b'', 5),
-    'not in utf-8': (b'{"revision": 7, "\xff": 1}', 5),
-    'a key twice': (b'{"revision": 7, "revision": 8}', 5),
-    'revision not above': (document(5, [rule('r1', '/c/')]), 5),
-    'revision missing': (less(document(7), 'revision'), 5),
-    'same route name twice': (document(7, [rule('r1', '/a/'), rule('r1', '/b/')]), 5),
-    'same service name twice': (document(7, None, [backend('b1'), backend('b1')]), 5),
+    'not in UTF-8': (b'{"revision": 7, "\xff": 1}', 5),
+    'duplicate key': (b'{"revision": 7, "revision": 8}', 5),
+    'revision not higher': (document(5, [rule('r1', '/c/')]), 5),
+    'revision missing': (without_key(document(7), 'revision'), 5),
+    'duplicate route name': (document(7, [rule('r1', '/a/'), rule('r1', '/b/')]), 5),
+    'duplicate backend name': (document(7, None, [backend('b1'), backend('b1')]), 5),
     'stale If-Match': (document(7), 3),
-    'garbled If-Match': (document(7), 'x'),
-    'odd digit in If-Match': (document(7), '\xb2'),
+    'non-numeric If-Match': (document(7), 'x'),
+    'non-ASCII digit in If-Match': (document(7), '\xb2'),
 }
-BAD_PATCH = {
+INVALID_PATCHES = {
     'cut short': (b'{"revision": 7, "upserts": {', 5),
-    'removes a service in use': ({'revision': 7, 'removals': {'backends': ['b1']}}, 5),
-    'route to an unknown service': (
+    'removes a backend in use': ({'revision': 7, 'removals': {'backends': ['b1']}}, 5),
+    'route to an unknown backend': (
         {'revision': 7, 'upserts': {'routing_rules': [rule('r3', '/c/', backend='b9')]}},
         5,
     ),
     'same host and prefix': ({'revision': 7, 'upserts': {'routing_rules': [rule('r3', '/a/')]}}, 5),
-    'revision not above': ({'revision': 5, 'upserts': {'backends': [backend('b3')]}}, 5),
+    'revision not higher': ({'revision': 5, 'upserts': {'backends': [backend('b3')]}}, 5),
     'stale If-Match': ({'revision': 7, 'upserts': {'backends': [backend('b3')]}}, 4),
-    'items for what is no list': ({'revision': 7, 'upserts': {'limits': [{'name': 'x'}]}}, 5),
-    'names from what is no list': ({'revision': 7, 'removals': {'limits': ['x']}}, 5),
+    'upsert to a non-list field': ({'revision': 7, 'upserts': {'limits': [{'name': 'x'}]}}, 5),
+    'removal from a non-list field': ({'revision': 7, 'removals': {'limits': ['x']}}, 5),
     'not an object': (b'7', 5),
     'no revision': ({'upserts': {'backends': [backend('b3')]}}, 5),
-    'same item twice': ({'revision': 7, 'upserts': {'backends': [backend('b3'), backend('b3')]}}, 5),
-    'removals no object': ({'revision': 7, 'removals': ['r1']}, 5),
-    'removals no list': ({'revision': 7, 'removals': {'routing_rules': 'r1'}}, 5),
+    'duplicate item': ({'revision': 7, 'upserts': {'backends': [backend('b3'), backend('b3')]}}, 5),
+    'removals is not an object': ({'revision': 7, 'removals': ['r1']}, 5),
+    'removals of a section is not a list': ({'revision': 7, 'removals': {'routing_rules': 'r1'}}, 5),
     'item without a name': ({'revision': 7, 'upserts': {'routing_rules': [{'timeout_ms': 3}]}}, 5),
 }
 
 
-@given("the platform's interface of a simulated core")
+@given("the platform's operator interface of a simulated core")
 def interface(context):
-    context.play = lambda script: play(context, script)
+    context.play = lambda script: run_script(context, script)
 
 
-def refused(context, method, body, match):
-    async def script(desks):
-        assert (await desks.put(FIRST, 0)).status == 200
-        context.got = await desks.ask(method, '/config', body, match)
-        context.shown = [await desks.show(at) for at in (0, 1, 2)]
+def send_invalid_change(context, method, body, if_match):
+    async def script(client):
+        assert (await client.put(FIRST_CONFIG, 0)).status == 200
+        context.response = await client.request(method, '/config', body, if_match)
+        context.configs_shown = [await client.show(core) for core in (0, 1, 2)]
 
     context.play(script)
 
 
 @when('the operator puts a configuration, and then one that is invalid: {kind}')
 def put_invalid(context, kind):
-    refused(context, 'PUT', *INVALID[kind])
+    send_invalid_change(context, 'PUT', *INVALID_CONFIGS[kind])
 
 
 @when('the operator puts a configuration, and then a patch that is invalid: {kind}')
 def patch_invalid(context, kind):
-    refused(context, 'PATCH', *BAD_PATCH[kind])
+    send_invalid_change(context, 'PATCH', *INVALID_PATCHES[kind])
 
 
 @then('the answer is a 4xx that names "{place}"')
-def names_place(context, place):
-    assert 400 <= context.got.status < 500, (context.got.status, context.got.body)
-    places = [f['place'] for f in context.got.body.get('findings', ())]
-    assert any(place in p for p in places), (place, context.got.body)
+def names_field(context, place):
+    assert 400 <= context.response.status < 500, (context.response.status, context.response.body)
+    places = [finding['place'] for finding in context.response.body.get('findings', ())]
+    assert any(place in found for found in places), (place, context.response.body)
 
 
 @then('the answer is a 4xx that names ""')
-def names_nothing(context):
-    assert 400 <= context.got.status < 500 and context.got.body['detail'], (
-        context.got.status,
-        context.got.body,
+def names_no_field(context):
+    assert 400 <= context.response.status < 500 and context.response.body['detail'], (
+        context.response.status,
+        context.response.body,
     )
 
 
 @then('the configuration in force is the first, as it was sent')
 def first_in_force(context):
-    assert context.shown == [FIRST] * 3, context.shown
+    assert context.configs_shown == [FIRST_CONFIG] * 3, context.configs_shown
 
 
-@when('two operators put different configurations on one version at once, at two cores')
-def race(context):
+@when('two operators change the same version concurrently, at two cores')
+def concurrent_changes(context):
     context.mine, context.other = document(7, [rule('r1', '/mine/')]), document(8, [rule('r1', '/other/')])
 
-    async def script(desks):
-        assert (await desks.put(FIRST, 0)).status == 200
-        context.all = await asyncio.gather(desks.put(context.mine, 5, 1), desks.put(context.other, 5, 2))
-        context.shown = await desks.show()
+    async def script(client):
+        assert (await client.put(FIRST_CONFIG, 0)).status == 200
+        context.responses = await asyncio.gather(
+            client.put(context.mine, 5, 1), client.put(context.other, 5, 2)
+        )
+        context.configs_shown = await client.show()
 
     context.play(script)
 
 
-@then('one is acknowledged and in force, and the other is 412')
+@then('one is acknowledged and in force, and the other is answered 412')
 def one_wins(context):
-    assert sorted(g.status for g in context.all) == [200, 412], [(g.status, g.body) for g in context.all]
-    assert context.shown == (context.mine if context.all[0].status == 200 else context.other)
+    assert sorted(response.status for response in context.responses) == [200, 412], [
+        (response.status, response.body) for response in context.responses
+    ]
+    assert context.configs_shown == (context.mine if context.responses[0].status == 200 else context.other)
 
 
-@when('a change is sent again at another core, and again after a later change')
-def again(context):
+@when('a change is retried at another core, and again after a later change')
+def retried_change(context):
     context.later = document(9, [rule('r1', '/later/')])
     patch = {'revision': 7, 'removals': {'routing_rules': ['r2']}}
 
-    async def script(desks):
-        context.all = [
-            await desks.put(FIRST, 0),
-            await desks.put(FIRST, 0, 1),
-            await desks.patch(patch, 5),
-            await desks.patch(patch, 5, 2),
-            await desks.put(context.later, 7),
-            await desks.patch(patch, 5, 1),
-            await desks.put(FIRST, 0, 2),
-            await desks.put(context.later, 7, 1),
+    async def script(client):
+        context.responses = [
+            await client.put(FIRST_CONFIG, 0),
+            await client.put(FIRST_CONFIG, 0, 1),
+            await client.patch(patch, 5),
+            await client.patch(patch, 5, 2),
+            await client.put(context.later, 7),
+            await client.patch(patch, 5, 1),
+            await client.put(FIRST_CONFIG, 0, 2),
+            await client.put(context.later, 7, 1),
         ]
-        context.shown = await desks.show(1)
+        context.configs_shown = await client.show(1)
 
     context.play(script)
 
 
-@then('each time it is acknowledged, and the later one stays in force')
+@then('each time it is acknowledged, and the later change stays in force')
 def acknowledged_again(context):
-    assert [g.status for g in context.all] == [200] * 8, [(g.status, g.body) for g in context.all]
-    assert context.shown == context.later
+    assert [response.status for response in context.responses] == [200] * 8, [
+        (response.status, response.body) for response in context.responses
+    ]
+    assert context.configs_shown == context.later
 
 
-@when('a patch adds a route and a service, replaces one and removes one')
-def patched(context):
-    async def script(desks):
-        assert (await desks.put(FIRST, 0)).status == 200
+@when('a patch adds a route and a backend, replaces a route and removes one of each')
+def apply_patch(context):
+    async def script(client):
+        assert (await client.put(FIRST_CONFIG, 0)).status == 200
         body = {
             'revision': 6,
             'upserts': {
@@ -347,130 +361,141 @@
             },
             'removals': {'routing_rules': ['r2'], 'backends': ['b2']},
         }
-        context.got = await desks.patch(body, 5)
-        context.shown = await desks.show()
-        context.nodes = [n.state.policy for n in desks.town.nodes()]
+        context.response = await client.patch(body, 5)
+        context.configs_shown = await client.show()
+        context.nodes = [node.state.policy for node in client.town.nodes()]
 
     context.play(script)
 
 
-@then('the configuration read back holds just that')
-def just_that(context):
-    assert context.got.status == 200, (context.got.status, context.got.body)
-    want = document(
+@then('the configuration read back has exactly these changes')
+def has_exactly_changes(context):
+    assert context.response.status == 200, (context.response.status, context.response.body)
+    expected = document(
         6,
         [rule('r1', '/a/', timeout_ms=700), rule('r3', '/c/', backend='b3')],
         [backend('b1'), backend('b3')],
     )
-    assert context.shown == want, context.shown
+    assert context.configs_shown == expected, context.configs_shown
 
 
-@then('the nodes have the routes that it means')
-def nodes_have(context):
+@then('the nodes have the routes of that configuration')
+def nodes_have_routes(context):
     assert context.nodes
     for policy in context.nodes:
-        assert {n: (r['prefix'], r['timeout_ms'], r['pools']) for n, r in policy['http_routes'].items()} == {
+        assert {
+            name: (route['prefix'], route['timeout_ms'], route['pools'])
+            for name, route in policy['http_routes'].items()
+        } == {
             'r1': ('/a/', 700, {'b1': 1}),
             'r3': ('/c/', 900, {'b3': 1}),
         }, policy['http_routes']
         assert sorted(policy['pools']) == ['b1', 'b3'] and policy['version'] == 6
 
 
-@when('an unknown machine, a store, and at once another are to be retired')
+@when('an unknown machine, a store and, immediately after it, another store are retired')
 def retire(context):
-    async def script(desks):
-        order = {'deadline_s': 10}
-        context.all = [
-            await desks.ask('POST', '/retire/nobody', order),
-            await desks.ask('GET', '/retire/nobody'),
-            await desks.ask('POST', '/retire/store0', order),
-            await desks.ask('GET', '/retire/store0', at=1),
-            await desks.ask('POST', '/retire/store1', order),
+    async def script(client):
+        body = {'deadline_s': 10}
+        context.responses = [
+            await client.request('POST', '/retire/nobody', body),
+            await client.request('GET', '/retire/nobody'),
+            await client.request('POST', '/retire/store0', body),
+            await client.request('GET', '/retire/store0', core=1),
+            await client.request('POST', '/retire/store1', body),
         ]
         state = {}
-        for _ in range(600):  # the world's time
-            state = (await desks.ask('GET', '/retire/store0')).body
+        for _ in range(600):  # in simulated time
+            state = (await client.request('GET', '/retire/store0')).body
             if state['instance_state'] == 'completed':
                 break
-            await desks.town.sleep(0.1)
-        primary = await desks.town.status()
-        context.held = (
-            {p: s for p, s in primary['parts'].items() if any(str(m).startswith('store0-') for m in s)}
-            if (isinstance(primary.get('parts'), dict))
-            else primary
+            await client.town.sleep(0.1)
+        status = await client.town.status()
+        context.partitions_held = (
+            {
+                partition: replica_set
+                for partition, replica_set in status['parts'].items()
+                if any(str(member).startswith('store0-') for member in replica_set)
+            }
+            if (isinstance(status.get('parts'), dict))
+            else status
         )
         context.state = state
 
     context.play(script)
 
 
-@then('the unknown is 404, the store is running, and the other is refused')
-def retire_answers(context):
-    assert [g.status for g in context.all] == [404, 404, 200, 200, 409], [
-        (g.status, g.body) for g in context.all
+@then('the unknown machine is answered 404, the first store is being retired, and the second is refused')
+def retire_responses(context):
+    assert [response.status for response in context.responses] == [404, 404, 200, 200, 409], [
+        (response.status, response.body) for response in context.responses
     ]
-    assert [g.body['instance_state'] for g in context.all[2:4]] == ['running', 'running']
+    assert [response.body['instance_state'] for response in context.responses[2:4]] == ['running', 'running']
 
 
-@then('the store is completed once it holds nothing')
-def completed(context):
+@then('the retirement is completed once the store holds no partition')
+def retirement_completed(context):
     assert context.state == {'instance_state': 'completed'}, context.state
-    assert context.held == {}, context.held
+    assert context.partitions_held == {}, context.partitions_held
 
 
-@when('a store loses its disk, comes back, and its machine is to be retired')
+@when('a store loses its disk, restarts, and its machine is retired')
 def retire_after_loss(context):
-    async def script(desks):
-        town = desks.town
+    async def script(client):
+        town = client.town
         machine = town.machines['store0']
         town.world.kill(machine)
         town.world.wipe(machine)
         await town.sleep(1)
         town.start('store0')
         context.members = {}
-        for _ in range(600):  # the world's time
+        for _ in range(600):  # in simulated time
             context.members = {
-                m: r for m, r in (await town.status()).get('members', {}).items() if m.startswith('store0-')
+                name: row
+                for name, row in (await town.status()).get('members', {}).items()
+                if name.startswith('store0-')
             }
-            if 'replaced' in [r['state'] for r in context.members.values()] and len(context.members) == 2:
+            if 'replaced' in [row['state'] for row in context.members.values()] and len(context.members) == 2:
                 break
             await town.sleep(0.1)
         context.state = None
-        for _ in range(100):  # refused while the fleet still mends
-            got = await desks.ask('POST', '/retire/store0', {'deadline_s': 10})
-            if got.status != 409:
+        for _ in range(100):  # refused while partitions are under repair
+            response = await client.request('POST', '/retire/store0', {'deadline_s': 10})
+            if response.status != 409:
                 break
             await town.sleep(0.3)
-        context.got = got
+        context.response = response
         for _ in range(600):
-            context.state = (await desks.ask('GET', '/retire/store0')).body['instance_state']
+            context.state = (await client.request('GET', '/retire/store0')).body['instance_state']
             if context.state == 'completed':
                 break
             await town.sleep(0.1)
-        context.after = {
-            m: r['state'] for m, r in (await town.status())['members'].items() if m.startswith('store0-')
+        context.states_after = {
+            name: row['state']
+            for name, row in (await town.status())['members'].items()
+            if name.startswith('store0-')
         }
 
     context.play(script)
 
 
-@then('the one that lives there now is emptied, and the machine is completed')
-def emptied_now(context):
-    assert sorted(r['state'] for r in context.members.values()) == ['in', 'replaced'], context.members
-    assert context.got.status == 200 and context.state == 'completed', (
-        context.got.status,
-        context.got.body,
+@then('the new store is emptied, and the retirement of the machine is completed')
+def new_store_emptied(context):
+    assert sorted(row['state'] for row in context.members.values()) == ['in', 'replaced'], context.members
+    assert context.response.status == 200 and context.state == 'completed', (
+        context.response.status,
+        context.response.body,
         context.state,
     )
-    assert sorted(context.after.values()) == ['replaced', 'retiring'], context.after
+    assert sorted(context.states_after.values()) == ['replaced', 'retiring'], context.states_after
 
 
 @then('other paths and methods are answered 404')
-def no_order(context):
-    async def script(desks):
+def unknown_requests(context):
+    async def script(client):
         return [
-            (await desks.ask(m, p)).status
-            for m, p in (
+            (await client.request(method, path)).status
+            for method, path in (
                 ('GET', '/config'),
                 ('GET', '/other'),
                 ('DELETE', '/config'),
@@ -479,5 +504,5 @@
             )
         ]
 
-    got = context.play(script)
-    assert got == [404] * 5, got
+    statuses = context.play(script)
+    assert statuses == [404] * 5, statuses
--- a/src/quillstall/configuration/startup.py
+++ b/src/quillstall/configuration/startup.py
@@ -22,9 +22,7 @@
     losses: NotRequired[Annotated[int, Range(1, 9)]]  # machines with a disk that may be lost at the same time
     lone: NotRequired[bool]  # whether a partition is served by its remaining members while it is repaired
     silent_ms: NotRequired[Annotated[int, Range(100, 60_000)]]  # silence after which a store is given up
-    lease_ms: NotRequired[
-        Annotated[int, Range(500, 2500)]
-    ]  # how long a node may send without a renewal
+    lease_ms: NotRequired[Annotated[int, Range(500, 2500)]]  # how long a node may send without a renewal
     founding: NotRequired[bool]  # whether this may be the first start of the fleet
     keys_s: NotRequired[Annotated[int, Range(1, 30 * 86400)]]  # minimum retention of operation keys
     list_per_s: NotRequired[
