--- a/features/startup.feature
+++ b/features/startup.feature
@@ -1,4 +1,4 @@
-Feature: Startups are checked as a whole, and nothing is half done
+Feature: Startup settings are checked as a whole, and a process that cannot start says why
 
   Scenario Outline: <what> is refused with code <code>
     When a process is started with <what>
--- a/features/steps/platform_folder.py
+++ b/features/steps/platform_folder.py
@@ -350,7 +350,7 @@
 
 
 @when('a patch adds a route and a backend, replaces a route and removes one of each')
-def apply_patch(context):
+def patch_named_items(context):
     async def script(client):
         assert (await client.put(FIRST_CONFIG, 0)).status == 200
         body = {
