--- a/features/startup.feature
+++ b/features/startup.feature
@@ -1,4 +1,4 @@
-Feature: Startups are checked as a whole, and nothing is half done
+Feature: Startup settings are checked as a whole, and a process that cannot start says why
 
   Scenario Outline: <what> is refused with code <code>
     When a process is started with <what>
@@ -6,7 +6,7 @@
 
     Examples:
       | what                              | code | text                         |
-      | a file full of faults             | 2    | seeds: must name three       |
+      | a file with several errors        | 2    | seeds: must name three       |
       | no data folder                    | 2    | no such folder               |
       | a store's folder for a core       | 1    | the data folder is a store's |
       | an address that is in use         | 1    | in use                       |
@@ -20,7 +20,7 @@
     Then the first start said "torn or corrupt" and kept the file whole under another name
     And the second start found the folder of the first, and neither ended by itself
 
-  Scenario: libcurl may send again on a dead connection that it reuses; once-work may not
+  Scenario: libcurl may send again on a dead connection that it reuses, but not a request that may be sent at most once
     Given a server that accepts a request on a kept-alive connection and closes it without a response
     When a second request is sent on that connection
     Then the server receives it more than once
--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -399,7 +399,7 @@
     os.mkdir(data)
     settings = lone_core_settings(data, port)
     context.address_holder = None
-    if what == 'a file full of faults':
+    if what == 'a file with several errors':
         settings.update(seeds=['127.0.0.1:1'], zone='a b', role='king', address='here')
     elif what == 'no data folder':
         settings['data'] = os.path.join(folder, 'none')
--- a/features/steps/mechanisms.py
+++ b/features/steps/mechanisms.py
@@ -7,7 +7,7 @@
 from behave import given, then
 from immutables import Map
 
-from quillstall.configuration.policy import MECHANISMS, check
+from quillstall.configuration.policy import MECHANISM_DEFAULTS, check
 from quillstall.dataplane.admission import choice, reducer, waiting
 from quillstall.dataplane.admission.admission_state import Pool, ServiceTime, State, Task
 from quillstall.dataplane.admission.messages import Decision, Health, Load
@@ -144,6 +144,6 @@
 
 @then('a policy that switches off any one mechanism has no finding')
 def each_mechanism_off(context):
-    for mechanism in MECHANISMS:
+    for mechanism in MECHANISM_DEFAULTS:
         switched = {'classes': {}, 'routes': {}, 'pools': {}, 'mechanisms': {mechanism: False}}
         assert check(switched) == [], (mechanism, check(switched))
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -11,7 +11,7 @@
 from tornado.iostream import StreamClosedError
 from tornado.queues import Queue
 
-from quillstall.configuration.policy import KEEPING_S, ONCE_KEEPING_S
+from quillstall.configuration.policy import DEFAULT_KEY_RETENTION_S, DEFAULT_TURN_RETENTION_S
 from quillstall.dataplane import probe_leadership, turn_ids
 from quillstall.dataplane.admission import (
     admission_state,
@@ -396,7 +396,7 @@
                 continue
             refreshed_at = now
             try:
-                self.post_event(Listing(await self.ctx.lister.look()))
+                self.post_event(Listing(await self.ctx.lister.poll()))
             except Fault as e:
                 self.ctx.journal.count(f'list.{e.code}')
 
@@ -609,7 +609,7 @@
         program = request.program or (previous.program if previous else f'g-{self.next_id()}')
         if previous and previous.program != program:
             raise Fault('invalid', '1 finding', (('continues', 'is a turn of another program'),))
-        retention_s = policy.get('keeping_s', KEEPING_S)
+        retention_s = policy.get('keeping_s', DEFAULT_TURN_RETENTION_S)
         prompt_tokens = request.prompt_tokens + (previous.tokens if previous else 0)
         task_id = self.next_id()
         task = Task(
@@ -1091,7 +1091,7 @@
         has not ended or its outcome is unknown.
         """
         kept_until = (
-            self.ctx.clock.wall() + timedelta(seconds=policy.get('once_keeping_s', ONCE_KEEPING_S))
+            self.ctx.clock.wall() + timedelta(seconds=policy.get('once_keeping_s', DEFAULT_KEY_RETENTION_S))
         ).timestamp()
         command = {'op': 'once_begin', 'key': record_key, 'digest': digest, 'run': run, 'until': kept_until}
         try:
