--- a/features/startup.feature
+++ b/features/startup.feature
@@ -17,7 +17,7 @@
 
   Scenario: a core with a corrupt data folder sets the file aside once and runs on as a new member
     When a core is started with a corrupt data folder, stopped, and started again
-    Then the first start said "torn or corrupt" and kept the file whole under another name
+    Then the first start logged "torn or corrupt" and kept the file whole under another name
     And the second start found the folder of the first, and neither ended by itself
 
   Scenario: libcurl may send again on a dead connection that it reuses; once-work may not
--- a/features/steps/clocks.py
+++ b/features/steps/clocks.py
@@ -66,7 +66,7 @@
 def store_with_clock_offset(context, seconds):
     context.wall = EPOCH
     context.steady = EPOCH + timedelta(seconds=seconds)
-    state = store.Store('s1', '127.0.0.1:1', 'z1', 1, ('127.0.0.1:2',), core=('127.0.0.1:2',))
+    state = store.Store('s1', '127.0.0.1:1', 'z1', 1, ('127.0.0.1:2',), core_addresses=('127.0.0.1:2',))
     context.store, _ = store.step(state, Tick(context.wall - context.steady), context.steady)
 
 
@@ -86,25 +86,25 @@
 
 def renew_lease(state, generation, now):
     message = {'k': 'renew', 'node': 'n1', 'generation': generation, 'number': 1, 'place': 0}
-    return store.renew(state, Told(1, message), now, [])
+    return store.renew_lease(state, Told(1, message), now, [])
 
 
 @given('a store that renewed a lease under generation 3')
 def first_renewal(context):
-    state = store.Store('s1', '127.0.0.1:1', 'z1', 1, (), word=QuorumRecord(3, 1))
+    state = store.Store('s1', '127.0.0.1:1', 'z1', 1, (), record=QuorumRecord(3, 1))
     context.store = renew_lease(state, 3, EPOCH)
 
 
 @when('it adopts generation 4 and renews the lease of the same node one second later')
 def second_renewal(context):
-    state = context.store._replace(word=QuorumRecord(4, 1))
+    state = context.store._replace(record=QuorumRecord(4, 1))
     context.store = renew_lease(state, 3, EPOCH + timedelta(seconds=1))
 
 
 @then('it reports both leases to the core until each has expired')
 def both_leases_reported(context):
     one_second, state = timedelta(seconds=1), context.store
-    assert store.leases(state, EPOCH + one_second) == [['n1', 3, 1550], ['n1', 4, 2550]]
+    assert store.running_leases(state, EPOCH + one_second) == [['n1', 3, 1550], ['n1', 4, 2550]]
     after_first = EPOCH + GRANTED_LEASE + timedelta(milliseconds=1)
-    assert [row[:2] for row in store.leases(state, after_first)] == [['n1', 4]]
-    assert store.leases(state, after_first + one_second) == []
+    assert [row[:2] for row in store.running_leases(state, after_first)] == [['n1', 4]]
+    assert store.running_leases(state, after_first + one_second) == []
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -272,7 +272,7 @@
         ]
         town.world.freeze(town.machines[name])
         await town.sleep(4)
-        newest = town.hosts[next(n for n in town.named('store') if n != name)].state.seats
+        newest = town.hosts[next(n for n in town.named('store') if n != name)].state.replica_sets
         assert all(newest[p][0] > old.copies.partitions[p].replica_set.epoch for p in led_before), (
             led_before,
             newest,
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -1,4 +1,5 @@
-"""Store: the reducer of a store process: its copies of the parts, and its talk with the core."""
+"""The reducer of a store process. The process keeps copies of the partitions, polls the core for replica sets
+and configuration, and as a member of the lease quorum renews leases of routing nodes while no core is reachable."""
 
 from datetime import datetime, timedelta
 from typing import Any, NamedTuple
@@ -16,81 +17,91 @@
 from quillstall.runtime.effect import Ask, Count, Done, Heard, Propose, Return, Tick, Told, Write, Wrote
 from quillstall.runtime.errors import Fault
 
-PEER_PART = 0.6  # a part that does not come to serve is reported after this part of that time
-FLIGHT_PART = 0.25  # the same for one that serves and stands still: it is reported sooner
-CONFIRM_LIMIT = timedelta(milliseconds=200)  # it stands still if no backup has confirmed for so long
-SWEEP_EVERY = timedelta(seconds=5)
-POLL_LIMIT_MS = 650
-SHY = timedelta(milliseconds=400)
-PROGRAM_S = 86_400
-WATCH_PART = 0.65  # a watched store is suspected after this part of the time after which it is given up
-AWAY = timedelta(milliseconds=1500)
-GREET_EVERY = timedelta(seconds=1)
+# of the store timeout: a partition that its primary cannot bring to serve for so long is reported to the core
+UNREADY_REPORT_FRACTION = 0.6
+# the same for a partition that did serve and has stalled, which is reported sooner
+STALL_REPORT_FRACTION = 0.25
+# a partition with an open batch has stalled if a backup has not been heard from for so long
+CONFIRMATION_TIMEOUT = timedelta(milliseconds=200)
+SWEEP_INTERVAL = timedelta(seconds=5)
+POLL_TIMEOUT_MS = 650
+CORE_BACKOFF = timedelta(milliseconds=400)
+PROGRAM_RETENTION_S = 86_400
+SUSPECT_FRACTION = 0.65  # of the store timeout, after which a silent watched store is suspected
+CORE_SILENCE_LIMIT = timedelta(milliseconds=1500)
+HELLO_INTERVAL = timedelta(seconds=1)
 
 
 class Store(NamedTuple):
-    """All that a store process knows.
+    """The state of a store process.
 
-    >>> Store('s1', '127.0.0.1:1', 'z1', 1, ('127.0.0.1:2',)).place
+    >>> Store('s1', '127.0.0.1:1', 'z1', 1, ('127.0.0.1:2',)).placement_version
     0
     """
 
     me: str
     address: str
     zone: str
-    inc: int
+    incarnation: int
     seeds: tuple
     copies: group.State = group.State('')
-    core: tuple = ()
-    at: str | None = None
-    place: int = 0
-    seats: dict = {}  # who holds each part, by the core's last word
-    book: dict = {}
-    known: tuple = ()  # addresses of routing nodes
-    news: datetime | None = None  # when the core last answered
-    greeted: datetime | None = None
-    word: QuorumRecord = QuorumRecord()  # what this store says to routing nodes without a core: it is synced
-    next: QuorumRecord | None = None  # the word that is being written
-    renewed: Map = Map()  # (routing node, under which generation) -> when last
-    fleet: str | None = None
-    poll: int = 0
-    polled: datetime | None = None
-    reported: frozenset = frozenset()  # what the last poll said: parts that are stuck, stores that are silent
-    out: bool = False
-    asked: str | None = None
-    turn: int = 0
-    since: Map = Map()
-    swept: datetime | None = None
-    sweeps: Map = Map()  # part -> the row where its next sweep begins
+    core_addresses: tuple = ()
+    core_primary: str | None = (
+        None  # address of the core that last answered as the primary or was named as it
+    )
+    placement_version: int = 0
+    replica_sets: dict = {}  # partition -> its replica set, as the core last reported it
+    store_addresses: dict = {}
+    node_addresses: tuple = ()  # of routing nodes
+    core_last_heard: datetime | None = None  # when the core last answered a poll
+    hello_sent_at: datetime | None = None
+    record: QuorumRecord = QuorumRecord()  # on disk; what this store answers when it renews a lease
+    pending_record: QuorumRecord | None = None  # the record that is being written
+    renewed_leases: Map = Map()  # (routing node, generation of the lease) -> when it was last renewed
+    fleet_id: str | None = None
+    poll_number: int = 0
+    polled_at: datetime | None = None
+    reported_problems: frozenset = frozenset()  # in the last poll: stalled partitions and suspected stores
+    poll_pending: bool = False
+    polled_core: str | None = None  # address that the last poll was sent to; None: it went through a peer
+    core_index: int = 0  # which core is polled next while the primary is unknown
+    unserved_since: Map = Map()  # partition -> (epoch, since when it is not served)
+    swept_at: datetime | None = None
+    sweep_positions: Map = Map()  # partition -> the row where its next sweep begins
     watch: Watch = Watch()
-    fails: int = 0
-    http: str | None = None
-    shy: Map = Map()  # cores that were silent lately, and until when to believe it
-    silent: timedelta = DEFAULT_SILENCE_LIMIT  # so long silent, a peer is given up
-    blocked: bool = False  # its disk takes nothing: it has said so, and says nothing more
-    wall_ahead: timedelta = timedelta(0)  # how far the wall clock is ahead of the steady one
-    lease: timedelta = DEFAULT_LEASE
+    failed_polls: int = 0  # direct polls that were not answered since the last success
+    http_address: str | None = None
+    avoided_until: Map = Map()  # address of a core -> end of its back-off after a poll that it did not answer
+    store_timeout: timedelta = DEFAULT_SILENCE_LIMIT  # after which a silent store is given up
+    disk_blocked: bool = False  # the disk accepts no writes: this was reported, and no poll is sent
+    wall_ahead: timedelta = timedelta(0)  # of the wall clock relative to the steady clock
+    lease_duration: timedelta = DEFAULT_LEASE
 
     @property
-    def granted(self) -> timedelta:
-        """How long this process counts a lease that it gave."""
-        return self.lease * register.GRANTED_LEASE_FACTOR
+    def granted_lease(self) -> timedelta:
+        """The time for which this process counts a lease that it renewed, longer than the holder does."""
+        return self.lease_duration * register.GRANTED_LEASE_FACTOR
 
 
 def load(me: str, startup: dict, rows: dict, count: int, now: datetime) -> Store:
-    """The state after a start.
+    """Return the state after a start, from the startup settings and the rows on disk.
 
     >>> from datetime import UTC
     >>> s = {'address': '127.0.0.1:1', 'zone': 'z1', 'seeds': ['127.0.0.1:2']}
-    >>> load('s1', s, {}, 1, datetime(2026, 1, 1, tzinfo=UTC)).inc
+    >>> load('s1', s, {}, 1, datetime(2026, 1, 1, tzinfo=UTC)).incarnation
     1
     """
-    own = rows.get('', {})
-    place, seats, names, known = own.get('map') or (0, {}, {}, ())
-    word = register.decode_record(own.get('word'))
-    # what it renewed before this start is forgotten: count any lease as renewed now
-    renewed = Map({(register.ANY_NODE, 0): now}) if word.number else Map()
-    silent = of_ms(startup['silent_ms']) if 'silent_ms' in startup else DEFAULT_SILENCE_LIMIT
+    process_rows = rows.get('', {})
+    placement_version, replica_sets, store_addresses, node_addresses = process_rows.get('map') or (
+        0,
+        {},
+        {},
+        (),
+    )
+    record = register.decode_record(process_rows.get('word'))
+    # Which leases were renewed before this start is not known, so any node's lease counts as renewed now.
+    renewed_leases = Map({(register.ANY_NODE, 0): now}) if record.number else Map()
+    store_timeout = of_ms(startup['silent_ms']) if 'silent_ms' in startup else DEFAULT_SILENCE_LIMIT
     return Store(
         me,
         startup['address'],
@@ -98,147 +109,155 @@
         count,
         tuple(startup['seeds']),
         group.load(me, rows, count),
-        tuple(own.get('core') or startup['seeds']),
-        fleet=own.get('fleet_id'),
-        http=startup.get('http'),
-        place=place,
-        seats=seats,
-        book=names,
-        known=tuple(known),
-        word=word,
-        renewed=renewed,
-        silent=silent,
-        watch=Watch(silence_limit=silent, suspect_after=silent * WATCH_PART),
-        lease=of_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
+        tuple(process_rows.get('core') or startup['seeds']),
+        fleet_id=process_rows.get('fleet_id'),
+        http_address=startup.get('http'),
+        placement_version=placement_version,
+        replica_sets=replica_sets,
+        store_addresses=store_addresses,
+        node_addresses=tuple(node_addresses),
+        record=record,
+        renewed_leases=renewed_leases,
+        store_timeout=store_timeout,
+        watch=Watch(silence_limit=store_timeout, suspect_after=store_timeout * SUSPECT_FRACTION),
+        lease_duration=of_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
     )
 
 
-def where(state: Store, to: str) -> str | None:
-    """The address of a member: `where(state, 's2')`."""
-    if ':' in to:
-        return to
-    return state.book.get(to)
+def where(state: Store, member: str) -> str | None:
+    """Return the address of a member: `where(state, 's2')`. An address is returned as it is."""
+    if ':' in member:
+        return member
+    return state.store_addresses.get(member)
 
 
 def apply_at_wall_time(wall_ahead: timedelta) -> group.ApplyCommand:
-    """The group's way to the shelf. The times kept there are compared with other stores' and outlast a
-    restart: they are wall times, `apply_at_wall_time(state.wall_ahead)('p00', rows, command, now)`."""
+    """Return the function that applies a command to a partition's rows, as the replica group requires it:
+    `apply_at_wall_time(state.wall_ahead)('p00', rows, command, now)`.
 
-    def apply_part(part: str, rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    The times in the rows are compared with those of other stores and outlast a restart, so they are wall times."""
+
+    def apply_command(partition: str, rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
         return shelf.apply(rows, command, now + wall_ahead)
 
-    return apply_part
+    return apply_command
 
 
 def step(state: Store, event: Any, now: datetime) -> tuple[Store, tuple]:
-    """The next state and the effects of any event of a store process.
+    """Return the next state and the effects of an event of a store process.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> s = Store('s1', '127.0.0.1:1', 'z1', 1, ('127.0.0.1:2',), core=('127.0.0.1:2',))
+    >>> s = Store('s1', '127.0.0.1:1', 'z1', 1, ('127.0.0.1:2',), core_addresses=('127.0.0.1:2',))
     >>> s, e = step(s, Tick(), t); e[0].message['k']
     'poll'
     """
-    out: list = []
+    effects: list = []
     kind = type(event)
     if kind is Told:
-        state = told(state, event, now, out)
+        state = handle_message(state, event, now, effects)
     elif kind is Tick:
         state = state._replace(wall_ahead=event.wall_ahead)
-        state = last_word(state, now, out) if event.blocked else tick(state, now, out)
+        state = report_blocked_disk(state, now, effects) if event.blocked else tick(state, now, effects)
     elif kind is Heard and event.tag[0] == 'poll':
-        state = answered(state, event, now, out)
+        state = handle_poll_reply(state, event, now, effects)
     elif kind is Heard and event.tag[0] == 'seat':
         if event.ret and 'fault' not in event.ret:
-            state = feed(state, Grant(event.tag[1], ReplicaSet(*event.ret['seat'])), now, out)
+            state = step_replication(state, Grant(event.tag[1], ReplicaSet(*event.ret['seat'])), now, effects)
         elif event.ret and event.ret['fault'] == 'core_away' and event.ret['more'].get('at'):
-            state = state._replace(at=event.ret['more']['at'])
+            state = state._replace(core_primary=event.ret['more']['at'])
     elif kind is Heard and event.tag[0] == 'ping':
         state = state._replace(watch=watch.record_ping(state.watch, event.tag[1], event.ret, now))
     elif kind is Heard and event.tag[0] == 'relay':
-        out.append(Return(event.tag[1], event.ret or Fault('slow', 'no core answered').pack()))
+        effects.append(Return(event.tag[1], event.ret or Fault('slow', 'no core answered').pack()))
     elif kind is Heard and event.tag[0] == 'who':
         if event.ret and event.ret.get('core'):
-            state = state._replace(core=tuple(event.ret['core']), at=event.ret.get('at'))
+            state = state._replace(core_addresses=tuple(event.ret['core']), core_primary=event.ret.get('at'))
     elif kind is Wrote and event.tag[0] == 'word':
-        state = word_synced(state, event.tag[1], now, out)
+        state = finish_record_write(state, event.tag[1], now, effects)
     elif event.tag[0] == 'g':
-        state = feed(state, event, now, out)
-    return state, tuple(out)
+        state = step_replication(state, event, now, effects)
+    return state, tuple(effects)
 
 
-def feed(state: Store, event: Any, now: datetime, out: list) -> Store:
-    inner, effects = group.step(state.copies, event, now, apply_at_wall_time(state.wall_ahead))
-    state = state._replace(copies=inner)
-    for effect in effects:
+def step_replication(state: Store, event: Any, now: datetime, effects: list) -> Store:
+    """Pass an event to the replicated partitions, and handle the effects that concern this process."""
+    copies, group_effects = group.step(state.copies, event, now, apply_at_wall_time(state.wall_ahead))
+    state = state._replace(copies=copies)
+    for effect in group_effects:
         if type(effect) is Done:
             if effect.tag[0] == 'call':
-                out.append(Return(effect.tag[1], effect.ret))
+                effects.append(Return(effect.tag[1], effect.ret))
             elif effect.tag[0] == 'sweep' and 'fault' not in effect.ret:
-                state = state._replace(sweeps=state.sweeps.set(effect.tag[1], effect.ret['at']))
+                state = state._replace(
+                    sweep_positions=state.sweep_positions.set(effect.tag[1], effect.ret['at'])
+                )
         elif type(effect) is Propose:
-            out.append(
+            effects.append(
                 Ask(
-                    state.at or state.core[0],
+                    state.core_primary or state.core_addresses[0],
                     {'k': 'seat', 'part': effect.part, 'seat': list(effect.seat)},
                     ('seat', effect.part),
                 )
             )
         else:
-            out.append(effect)
+            effects.append(effect)
     return state
 
 
-def told(state: Store, event: Told, now: datetime, out: list) -> Store:
-    m = event.message
-    kind = m.get('k')
+def handle_message(state: Store, event: Told, now: datetime, effects: list) -> Store:
+    """Handle a message of another process, and reply to it at once or when its command has run."""
+    message = event.message
+    kind = message.get('k')
     if kind in group.KINDS:
-        return feed(state, event, now, out)
+        return step_replication(state, event, now, effects)
     if kind == 'relay':
-        if state.at is None:
-            out.append(
+        if state.core_primary is None:
+            effects.append(
                 Return(event.call, Fault('core_away', 'this store has no way to the core either').pack())
             )
             return state
-        out.append(Ask(state.at, m['message'], ('relay', event.call), POLL_LIMIT_MS))
-        out.append(Count('relayed'))
+        effects.append(Ask(state.core_primary, message['message'], ('relay', event.call), POLL_TIMEOUT_MS))
+        effects.append(Count('relayed'))
         return state
     if kind == 'greet':
-        if away(state, now) and state.fleet in (None, m['fleet']):
-            state = state._replace(core=tuple(m['core']), at=None)
-        out.append(Return(event.call, {'ok': True}))
+        if is_core_silent(state, now) and state.fleet_id in (None, message['fleet']):
+            state = state._replace(core_addresses=tuple(message['core']), core_primary=None)
+        effects.append(Return(event.call, {'ok': True}))
         return state
     if kind == 'renew':
-        return renew(state, event, now, out)
+        return renew_lease(state, event, now, effects)
     if kind == 'op':
-        return feed(state, Op(m['part'], ('call', event.call), m['command']), now, out)
+        return step_replication(
+            state, Op(message['part'], ('call', event.call), message['command']), now, effects
+        )
     if kind == 'who':
-        out.append(
+        effects.append(
             Return(
                 event.call,
                 {
                     'ok': True,
                     'me': state.me,
                     'role': 'store',
-                    'fleet': state.fleet,
-                    'core': list(state.core),
-                    'at': state.at,
+                    'fleet': state.fleet_id,
+                    'core': list(state.core_addresses),
+                    'at': state.core_primary,
                 },
             )
         )
     elif kind == 'status':
-        parts = {
-            p: {
-                'seat': list(c.replica_set) if c.replica_set else None,
-                'seq': c.seq,
-                'full': c.has_all_rows,
-                'sealed': c.sealed,
-                'ready': c.ready,
-                'rows': len(c.rows),
+        partitions = {
+            partition: {
+                'seat': list(copy.replica_set) if copy.replica_set else None,
+                'seq': copy.seq,
+                'full': copy.has_all_rows,
+                'sealed': copy.sealed,
+                'ready': copy.ready,
+                'rows': len(copy.rows),
             }
-            for p, c in sorted(state.copies.partitions.items())
+            for partition, copy in sorted(state.copies.partitions.items())
         }
-        out.append(
+        effects.append(
             Return(
                 event.call,
                 {
@@ -246,305 +265,372 @@
                     'me': state.me,
                     'role': 'store',
                     'zone': state.zone,
-                    'place': state.place,
-                    'generation': state.word.generation,
+                    'place': state.placement_version,
+                    'generation': state.record.generation,
                     'register': [
-                        state.word.number,
-                        sorted(state.word.members),
-                        sorted(state.word.previous_members),
+                        state.record.number,
+                        sorted(state.record.members),
+                        sorted(state.record.previous_members),
                     ],
-                    'renewed': leases(state, now),
-                    'parts': parts,
+                    'renewed': running_leases(state, now),
+                    'parts': partitions,
                 },
             )
         )
     else:
-        out.append(Return(event.call, Fault('garbled', f'no message of kind {kind!r}').pack()))
+        effects.append(Return(event.call, Fault('garbled', f'no message of kind {kind!r}').pack()))
     return state
 
 
-def renew(state: Store, event: Told, now: datetime, out: list) -> Store:
-    """This store's word for a routing node that the core does not answer; the lease that it may count
-    on is kept in mind, to be told to the core.
+def renew_lease(state: Store, event: Told, now: datetime, effects: list) -> Store:
+    """Answer a routing node that the core does not answer with this store's record, as a vote to renew its lease.
+
+    The renewal is remembered, so that the core is told how long the node may rely on it.
 
     >>> from datetime import UTC
-    >>> t, out = datetime(2026, 1, 1, tzinfo=UTC), []
-    >>> s = Store('s1', 'a:1', 'z', 1, (), word=QuorumRecord(4, 1))
-    >>> s = renew(s, Told(1, {'node': 'n1', 'generation': 3, 'number': 1, 'place': 0}), t, out)
-    >>> out[0].ret['word'][:2], list(s.renewed)
+    >>> t, effects = datetime(2026, 1, 1, tzinfo=UTC), []
+    >>> s = Store('s1', 'a:1', 'z', 1, (), record=QuorumRecord(4, 1))
+    >>> s = renew_lease(s, Told(1, {'node': 'n1', 'generation': 3, 'number': 1, 'place': 0}), t, effects)
+    >>> effects[0].ret['word'][:2], list(s.renewed_leases)
     ([4, 1], [('n1', 4)])
     """
-    m, word = event.message, state.word
-    if not word.number:
-        out.append(Return(event.call, Fault('core_away', 'this store is not registered yet').pack()))
+    message, record = event.message, state.record
+    if not record.number:
+        effects.append(Return(event.call, Fault('core_away', 'this store is not registered yet').pack()))
         return state
-    if word.generation <= m['generation']:  # the register is enough
-        word = word._replace(policy=None, leaving=())
-    lease_ms = state.lease // timedelta(milliseconds=1)
-    ret = {
+    if record.generation <= message['generation']:  # the node has this policy: the register is enough
+        record = record._replace(policy=None, leaving=())
+    lease_ms = state.lease_duration // timedelta(milliseconds=1)
+    reply = {
         'ok': True,
-        'word': list(word),
+        'word': list(record),
         'lease_ms': lease_ms,
-        'fleet': state.fleet,
-        'core': list(state.core),
+        'fleet': state.fleet_id,
+        'core': list(state.core_addresses),
     }
-    if state.place > m['place']:
-        ret.update(place=state.place, seats=state.seats, book=state.book)
-    out.append(Return(event.call, ret))
-    out.append(Count('renewed'))
-    return state._replace(renewed=state.renewed.set((m['node'], state.word.generation), now))
+    if state.placement_version > message['place']:
+        reply.update(place=state.placement_version, seats=state.replica_sets, book=state.store_addresses)
+    effects.append(Return(event.call, reply))
+    effects.append(Count('renewed'))
+    return state._replace(
+        renewed_leases=state.renewed_leases.set((message['node'], state.record.generation), now)
+    )
 
 
-def away(state: Store, now: datetime) -> bool:
-    """Whether the core has not answered for long.
+def is_core_silent(state: Store, now: datetime) -> bool:
+    """Return whether the core has not answered a poll for `CORE_SILENCE_LIMIT`.
 
-    >>> away(Store('s1', 'a:1', 'z', 1, ()), None)
+    >>> is_core_silent(Store('s1', 'a:1', 'z', 1, ()), None)
     True
     """
-    return state.news is None or now - state.news > AWAY
+    return state.core_last_heard is None or now - state.core_last_heard > CORE_SILENCE_LIMIT
 
 
-def greet(state: Store, now: datetime, out: list) -> Store:
-    """While the core is away, tell the routing nodes' addresses what it would tell them: one that was
-    started meanwhile finds the stores so, and serves."""
+def send_hello(state: Store, now: datetime, effects: list) -> Store:
+    """Tell the routing nodes where the fleet is while the core is silent, as the core would.
+
+    A routing node that starts meanwhile finds the stores this way, and can serve."""
     if (
-        not away(state, now)
-        or not state.word.number
-        or (state.greeted is not None and now - state.greeted < GREET_EVERY)
+        not is_core_silent(state, now)
+        or not state.record.number
+        or (state.hello_sent_at is not None and now - state.hello_sent_at < HELLO_INTERVAL)
     ):
         return state
-    book = {'number': state.word.number, 'now': state.word.members, 'old': state.word.previous_members}
-    message = {'k': 'greet', 'fleet': state.fleet, 'core': list(state.core), 'register': book}
-    for address in state.known:
-        out.append(Ask(address, message, ('greet', address)))
-    return state._replace(greeted=now)
+    known_register = {
+        'number': state.record.number,
+        'now': state.record.members,
+        'old': state.record.previous_members,
+    }
+    message = {
+        'k': 'greet',
+        'fleet': state.fleet_id,
+        'core': list(state.core_addresses),
+        'register': known_register,
+    }
+    for address in state.node_addresses:
+        effects.append(Ask(address, message, ('greet', address)))
+    return state._replace(hello_sent_at=now)
 
 
-def stuck(state: Store, now: datetime) -> list[list]:
-    """The parts, with their epochs, that this store should serve and cannot, and the backups that do not
-    confirm.
+def stalled_partitions(state: Store, now: datetime) -> list[list]:
+    """Return the partitions that this store should serve as the primary but cannot, with their epochs and the
+    backups that do not confirm.
 
-    >>> stuck(Store('s1', 'a:1', 'z', 1, ()), None)
+    >>> stalled_partitions(Store('s1', 'a:1', 'z', 1, ()), None)
     []
     """
     return sorted(
-        [p, epoch, list(mute(state.copies.partitions[p]))]
-        for p, (epoch, at) in state.since.items()
-        if p in state.copies.partitions and now - at > stands_still(state, state.copies.partitions[p])
+        [partition, epoch, list(awaited_backups(state.copies.partitions[partition]))]
+        for partition, (epoch, since) in state.unserved_since.items()
+        if partition in state.copies.partitions
+        and now - since > report_delay(state, state.copies.partitions[partition])
     )
 
 
-def stands_still(state: Store, copy: group.Copy) -> timedelta:
-    """How long a part is not served before that is reported: less if it served before, as then its backups
-    were there and something has happened to one."""
-    return state.silent * (FLIGHT_PART if copy.ready else PEER_PART)
+def report_delay(state: Store, copy: group.Copy) -> timedelta:
+    """Return for how long a partition is not served before that is reported.
 
+    It is shorter for a partition that did serve: its backups were there, so one of them has failed."""
+    return state.store_timeout * (STALL_REPORT_FRACTION if copy.ready else UNREADY_REPORT_FRACTION)
 
-def mute(copy: group.Copy) -> tuple:
-    """The backups that a primary waits for.
 
-    >>> mute(group.Copy('p', ReplicaSet(1, 0, 'a', 'b', 'c'), backup_positions=Map({'b': (1, ())})))
+def awaited_backups(copy: group.Copy) -> tuple:
+    """Return the backups that a primary waits for.
+
+    >>> awaited_backups(group.Copy('p', ReplicaSet(1, 0, 'a', 'b', 'c'), backup_positions=Map({'b': (1, ())})))
     ('c',)
     """
     if copy.ready and copy.batch:
         return copy.batch.awaiting
     return (
-        tuple(b for b in copy.replica_set.backups if b not in copy.backup_positions)
+        tuple(backup for backup in copy.replica_set.backups if backup not in copy.backup_positions)
         if copy.replica_set
         else ()
     )
 
 
-def waits(state: Store, now: datetime) -> Store:
-    """Note since when a part has not been served."""
-    since = state.since
-    for part, copy in state.copies.partitions.items():
-        mine = copy.replica_set is not None and copy.replica_set.primary == state.me and copy.has_all_rows
-        well = (
+def track_unserved(state: Store, now: datetime) -> Store:
+    """Return the state with the times since when partitions of this primary are not served brought up to date."""
+    unserved_since = state.unserved_since
+    for partition, copy in state.copies.partitions.items():
+        is_primary = (
+            copy.replica_set is not None and copy.replica_set.primary == state.me and copy.has_all_rows
+        )
+        is_served = (
             copy.ready
             and not copy.sealed
-            and (copy.batch is None or now - (copy.last_heard or now) < CONFIRM_LIMIT)
+            and (copy.batch is None or now - (copy.last_heard or now) < CONFIRMATION_TIMEOUT)
         )
-        if mine and not well and not (copy.sealed and copy.reconfiguration):
-            if part not in since or since[part][0] != copy.replica_set.epoch:
-                since = since.set(part, (copy.replica_set.epoch, now))
-        elif part in since:
-            since = since.delete(part)
-    return state._replace(since=since)
+        if is_primary and not is_served and not (copy.sealed and copy.reconfiguration):
+            if partition not in unserved_since or unserved_since[partition][0] != copy.replica_set.epoch:
+                unserved_since = unserved_since.set(partition, (copy.replica_set.epoch, now))
+        elif partition in unserved_since:
+            unserved_since = unserved_since.delete(partition)
+    return state._replace(unserved_since=unserved_since)
 
 
-def leases(state: Store, now: datetime) -> list[list]:
-    """The leases renewed here that may still run: (node, under which generation, how much longer). One under
-    an older generation stays beside a later one: the node may never have had the later answer."""
+def running_leases(state: Store, now: datetime) -> list[list]:
+    """Return the leases renewed here that may still be valid: (node, generation, remaining milliseconds).
+
+    A lease under an older generation is kept beside a newer one, as the node may never have received the newer
+    reply."""
     return sorted(
-        [node, generation, (at + state.granted - now) // timedelta(milliseconds=1)]
-        for (node, generation), at in state.renewed.items()
-        if now - at <= state.granted
+        [node, generation, (renewed_at + state.granted_lease - now) // timedelta(milliseconds=1)]
+        for (node, generation), renewed_at in state.renewed_leases.items()
+        if now - renewed_at <= state.granted_lease
     )
 
 
-def poll(state: Store, now: datetime, out: list, unserved: list | None = None) -> Store:
-    """Ask the core for news, with what this store has; when the direct way fails, through a peer. `unserved`:
-    the parts that it says are stuck, if not those that it has found so."""
-    if state.blocked:
+def poll_core(state: Store, now: datetime, effects: list, unserved: list | None = None) -> Store:
+    """Poll the core for updates and report this store's state; through a peer after direct polls have failed.
+
+    `unserved` is the list of stalled partitions to report; None: the result of `stalled_partitions`."""
+    if state.disk_blocked:
         return state
-    number = state.poll + 1
-    unserved = stuck(state, now) if unserved is None else unserved
-    bold = [c for c in state.core if state.shy.get(c, now) <= now] or state.core
-    to = state.at or bold[state.turn % len(bold)]
+    number = state.poll_number + 1
+    unserved = stalled_partitions(state, now) if unserved is None else unserved
+    candidates = [
+        c for c in state.core_addresses if state.avoided_until.get(c, now) <= now
+    ] or state.core_addresses
+    target = state.core_primary or candidates[state.core_index % len(candidates)]
     message = {
         'k': 'poll',
         'node': state.me,
         'role': 'store',
         'address': state.address,
         'zone': state.zone,
-        'inc': state.inc,
-        'generation': state.word.generation,
-        'number': state.word.number,
-        'place': state.place,
-        'renewed': leases(state, now),
+        'inc': state.incarnation,
+        'generation': state.record.generation,
+        'number': state.record.number,
+        'place': state.placement_version,
+        'renewed': running_leases(state, now),
         'stuck': unserved,
         'unpacks': True,
         'suspects': watch.suspects(state.watch, now),
         'facts': {
             'parts': len(state.copies.partitions),
-            'http': state.http,
+            'http': state.http_address,
             'clock': (now + state.wall_ahead).timestamp(),
         },
     }
     peers = sorted(state.watch.peers.values())
-    by = bool(state.fails >= 2 and number % 8 and peers)
-    message['by'] = by  # through a peer: it does not reach the core itself
-    if by:
-        out.append(
+    through_peer = bool(state.failed_polls >= 2 and number % 8 and peers)
+    message['by'] = through_peer  # tells the core that this store does not reach it directly
+    if through_peer:
+        effects.append(
             Ask(
                 peers[number % len(peers)],
                 {'k': 'relay', 'message': message},
                 ('poll', number),
-                POLL_LIMIT_MS,
+                POLL_TIMEOUT_MS,
             )
         )
     else:
-        out.append(Ask(to, message, ('poll', number), POLL_LIMIT_MS))
+        effects.append(Ask(target, message, ('poll', number), POLL_TIMEOUT_MS))
     return state._replace(
-        poll=number,
-        polled=now,
-        out=True,
-        asked=None if by else to,
-        reported=findings(unserved, message['suspects']),
+        poll_number=number,
+        polled_at=now,
+        poll_pending=True,
+        polled_core=None if through_peer else target,
+        reported_problems=list_problems(unserved, message['suspects']),
     )
 
 
-def findings(unserved: list[list], suspects: list[str]) -> frozenset:
-    """What of a poll the core should hear at once.
+def list_problems(unserved: list[list], suspects: list[str]) -> frozenset:
+    """Return what a poll reports that the core should know at once: stalled partitions with their epochs, and
+    suspected stores.
 
-    >>> sorted(findings([['p', 2, ['s2']]], ['s3']))
+    >>> sorted(list_problems([['p', 2, ['s2']]], ['s3']))
     [('p', 2), ('s3', 0)]
     """
-    return frozenset((part, epoch) for part, epoch, _ in unserved) | frozenset((n, 0) for n in suspects)
+    return frozenset((partition, epoch) for partition, epoch, _ in unserved) | frozenset(
+        (name, 0) for name in suspects
+    )
 
 
-def answered(state: Store, event: Heard, now: datetime, out: list) -> Store:
-    """The core's news: seats, addresses, and the moves this store is to lead."""
-    if event.tag[1] != state.poll:
+def handle_poll_reply(state: Store, event: Heard, now: datetime, effects: list) -> Store:
+    """Apply the core's update: replica sets, addresses, the reconfigurations to lead, and the quorum record."""
+    if event.tag[1] != state.poll_number:
         return state
-    state = state._replace(out=False)
-    ret = event.ret
-    if ret is None or 'fault' in ret:
-        if state.asked is None:  # no way through a peer either: try the cores again
-            return state._replace(fails=0, turn=state.turn + 1)
-        at = (ret or {}).get('more', {}).get('at')
-        if ret is None:
-            state = state._replace(shy=state.shy.set(state.asked, now + SHY))
-        if at and state.shy.get(at, now) > now:
-            at = None
-        if ret and ret['fault'] == 'garbled':  # a seed that is no core: it may know them
-            out.append(Ask(state.asked or state.core[0], {'k': 'who'}, ('who',)))
-        return state._replace(at=at, turn=state.turn + 1, fails=state.fails + (ret is None))
-    if state.fleet is not None and ret['fleet'] != state.fleet:
-        return state._replace(turn=state.turn + 1)
-    ret = with_policy(ret)
-    core = tuple(ret['core'])
-    if core != state.core or ret['fleet'] != state.fleet:
-        out.append(Write((Put('', 'core', list(core)), Put('', 'fleet_id', ret['fleet'])), ('none',)))
+    state = state._replace(poll_pending=False)
+    reply = event.ret
+    if reply is None or 'fault' in reply:
+        if state.polled_core is None:  # not reachable through a peer either: try the cores again
+            return state._replace(failed_polls=0, core_index=state.core_index + 1)
+        primary = (reply or {}).get('more', {}).get('at')
+        if reply is None:
+            state = state._replace(
+                avoided_until=state.avoided_until.set(state.polled_core, now + CORE_BACKOFF)
+            )
+        if primary and state.avoided_until.get(primary, now) > now:
+            primary = None
+        if reply and reply['fault'] == 'garbled':  # a seed of another role: it may know the core
+            effects.append(Ask(state.polled_core or state.core_addresses[0], {'k': 'who'}, ('who',)))
+        return state._replace(
+            core_primary=primary,
+            core_index=state.core_index + 1,
+            failed_polls=state.failed_polls + (reply is None),
+        )
+    if state.fleet_id is not None and reply['fleet'] != state.fleet_id:
+        return state._replace(core_index=state.core_index + 1)
+    reply = with_policy(reply)
+    core_addresses = tuple(reply['core'])
+    if core_addresses != state.core_addresses or reply['fleet'] != state.fleet_id:
+        effects.append(
+            Write(
+                (Put('', 'core', list(core_addresses)), Put('', 'fleet_id', reply['fleet'])),
+                ('none',),
+            )
+        )
     state = state._replace(
-        at=state.asked or state.at,
-        fleet=ret['fleet'],
-        core=core,
-        news=now,
-        fails=0 if state.asked else state.fails,
-        watch=watch.with_peers(state.watch, ret, now),
+        core_primary=state.polled_core or state.core_primary,
+        fleet_id=reply['fleet'],
+        core_addresses=core_addresses,
+        core_last_heard=now,
+        failed_polls=0 if state.polled_core else state.failed_polls,
+        watch=watch.with_peers(state.watch, reply, now),
     )
-    if 'seats' in ret:
+    if 'seats' in reply:
         state = state._replace(
-            place=ret['place'], seats=ret['seats'], book=ret['book'], known=tuple(ret['known'])
+            placement_version=reply['place'],
+            replica_sets=reply['seats'],
+            store_addresses=reply['book'],
+            node_addresses=tuple(reply['known']),
+        )
+        effects.append(
+            Write(
+                (Put('', 'map', [reply['place'], reply['seats'], reply['book'], reply['known']]),),
+                ('none',),
+            )
         )
-        out.append(
-            Write((Put('', 'map', [ret['place'], ret['seats'], ret['book'], ret['known']]),), ('none',))
+        for partition, row in sorted(reply['seats'].items()):
+            state = step_replication(state, Grant(partition, ReplicaSet(*row)), now, effects)
+    for partition, _, joiner, row in reply.get('plans', ()):
+        state = step_replication(
+            state, StartReconfiguration(partition, joiner, ReplicaSet(*row)), now, effects
         )
-        for part, raw in sorted(ret['seats'].items()):
-            state = feed(state, Grant(part, ReplicaSet(*raw)), now, out)
-    for part, _, joiner, raw in ret.get('plans', ()):
-        state = feed(state, StartReconfiguration(part, joiner, ReplicaSet(*raw)), now, out)
-    newest = state.next or state.word
-    word = register.with_update(newest, ret)
-    if word != newest:  # said, and polled with, only once it is synced
-        word = word._replace(routing_nodes=ret['live'])
-        out.append(Write((Put('', 'word', list(word)),), ('word', word)))
-        return state._replace(next=word)
-    return poll(state, now, out) if state.next is None else state
+    newest = state.pending_record or state.record
+    record = register.with_update(newest, reply)
+    if record != newest:  # answered and reported only once it is synced
+        record = record._replace(routing_nodes=reply['live'])
+        effects.append(Write((Put('', 'word', list(record)),), ('word', record)))
+        return state._replace(pending_record=record)
+    return poll_core(state, now, effects) if state.pending_record is None else state
 
 
-def word_synced(state: Store, word: QuorumRecord, now: datetime, out: list) -> Store:
-    """A word is on disk; a newer one may still be on its way there, if a blocked store's last poll brought it."""
-    state = state._replace(word=word, next=None if state.next == word else state.next)
-    return state if state.out or state.next is not None else poll(state, now, out)
+def finish_record_write(state: Store, record: QuorumRecord, now: datetime, effects: list) -> Store:
+    """Adopt a record that is synced now, and poll again.
+
+    A newer record may still wait to be written, if the reply to the last poll of a blocked store brought it."""
+    state = state._replace(
+        record=record, pending_record=None if state.pending_record == record else state.pending_record
+    )
+    return state if state.poll_pending or state.pending_record is not None else poll_core(state, now, effects)
 
 
-def last_word(state: Store, now: datetime, out: list) -> Store:
-    """Tell the core that no part can be served here, since the disk takes nothing; then be silent, so that
-    no part is given to this store meanwhile.
+def report_blocked_disk(state: Store, now: datetime, effects: list) -> Store:
+    """Report to the core that this store can serve none of its partitions since its disk accepts no writes.
+
+    No poll follows until the disk accepts writes again, so that the core assigns no partition to this store.
 
     >>> from datetime import UTC
-    >>> t, out = datetime(2026, 1, 1, tzinfo=UTC), []
+    >>> t, effects = datetime(2026, 1, 1, tzinfo=UTC), []
     >>> copies = group.State('s1', Map({'p': group.Copy('p', ReplicaSet(1, 0, 's1'), has_all_rows=True)}))
-    >>> s = last_word(Store('s1', 'a:1', 'z', 1, ('c:1',), copies, core=('c:1',)), t, out)
-    >>> out[0].message['stuck'], len(out), poll(s, t, out).poll == s.poll
+    >>> s = report_blocked_disk(Store('s1', 'a:1', 'z', 1, ('c:1',), copies, core_addresses=('c:1',)), t, effects)
+    >>> effects[0].message['stuck'], len(effects), poll_core(s, t, effects).poll_number == s.poll_number
     ([['p', 1, []]], 1, True)
     """
-    seats = {p: c.replica_set for p, c in state.copies.partitions.items() if c.replica_set}
-    own = sorted([p, seat.epoch, []] for p, seat in seats.items() if seat.primary == state.me)
-    return poll(state, now, out, own)._replace(blocked=True)
-
-
-def tick(state: Store, now: datetime, out: list) -> Store:
-    state = feed(state._replace(blocked=False), Tick(), now, out)
-    state = waits(state, now)
-    seen, asks = watch.due_pings(state.watch, now)
-    state = state._replace(watch=seen)
-    for name, address in asks:
-        out.append(Ask(address, {'k': 'who'}, ('ping', name), watch.PING_TIMEOUT_MS))
-    state = greet(state, now, out)
-    if state.renewed:
-        running = {lease: at for lease, at in state.renewed.items() if now - at <= state.granted}
-        state = state._replace(renewed=Map(running))
-    unserved = stuck(state, now)
-    if not state.out and (state.polled is None or now - state.polled > timedelta(milliseconds=150)):
-        state = poll(state, now, out, unserved)
-    elif findings(unserved, watch.suspects(state.watch, now)) - state.reported:
-        state = poll(state, now, out, unserved)  # at once, beside the one that the core may hold for a while
-    if state.swept is None or now - state.swept > SWEEP_EVERY:
-        state = state._replace(swept=now)
-        for part, copy in sorted(state.copies.partitions.items()):
+    replica_sets = {
+        partition: copy.replica_set for partition, copy in state.copies.partitions.items() if copy.replica_set
+    }
+    unserved = sorted(
+        [partition, replica_set.epoch, []]
+        for partition, replica_set in replica_sets.items()
+        if replica_set.primary == state.me
+    )
+    return poll_core(state, now, effects, unserved)._replace(disk_blocked=True)
+
+
+def tick(state: Store, now: datetime, effects: list) -> Store:
+    """Run the periodic work: replication, pings, polls of the core, and sweeps of the partitions."""
+    state = step_replication(state._replace(disk_blocked=False), Tick(), now, effects)
+    state = track_unserved(state, now)
+    watched, pings = watch.due_pings(state.watch, now)
+    state = state._replace(watch=watched)
+    for name, address in pings:
+        effects.append(Ask(address, {'k': 'who'}, ('ping', name), watch.PING_TIMEOUT_MS))
+    state = send_hello(state, now, effects)
+    if state.renewed_leases:
+        running = {
+            lease: renewed_at
+            for lease, renewed_at in state.renewed_leases.items()
+            if now - renewed_at <= state.granted_lease
+        }
+        state = state._replace(renewed_leases=Map(running))
+    unserved = stalled_partitions(state, now)
+    if not state.poll_pending and (
+        state.polled_at is None or now - state.polled_at > timedelta(milliseconds=150)
+    ):
+        state = poll_core(state, now, effects, unserved)
+    elif list_problems(unserved, watch.suspects(state.watch, now)) - state.reported_problems:
+        # a new problem is reported at once: the core may hold the pending poll for a while
+        state = poll_core(state, now, effects, unserved)
+    if state.swept_at is None or now - state.swept_at > SWEEP_INTERVAL:
+        state = state._replace(swept_at=now)
+        for partition, copy in sorted(state.copies.partitions.items()):
             if copy.ready and copy.replica_set.primary == state.me:
-                state = feed(
+                state = step_replication(
                     state,
                     Op(
-                        part,
-                        ('sweep', part),
-                        {'op': 'sweep', 'program_s': PROGRAM_S, 'from': state.sweeps.get(part, 0)},
+                        partition,
+                        ('sweep', partition),
+                        {
+                            'op': 'sweep',
+                            'program_s': PROGRAM_RETENTION_S,
+                            'from': state.sweep_positions.get(partition, 0),
+                        },
                     ),
                     now,
-                    out,
+                    effects,
                 )
     return state
--- a/src/quillstall/testbed/sabotage.py
+++ b/src/quillstall/testbed/sabotage.py
@@ -172,20 +172,20 @@
 @contextmanager
 def forget_renewed() -> Iterator[None]:
     """Stores do not tell the core which leases they have renewed."""
-    with patch.object(store, 'leases', lambda state, now: []):
+    with patch.object(store, 'running_leases', lambda state, now: []):
         yield
 
 
 @contextmanager
 def newest_renewal() -> Iterator[None]:
     """Stores keep in mind only the newest lease of each routing node."""
-    all_leases = store.leases
+    all_leases = store.running_leases
 
     def newest_only(state: Any, now: Any) -> list[list]:
         newest = {node: [node, generation, age] for node, generation, age in all_leases(state, now)}
         return list(newest.values())
 
-    with patch.object(store, 'leases', newest_only):
+    with patch.object(store, 'running_leases', newest_only):
         yield
 
 
@@ -195,7 +195,7 @@
     load = store.load
 
     def forgetful(*more: Any) -> Any:
-        return load(*more)._replace(renewed=Map())
+        return load(*more)._replace(renewed_leases=Map())
 
     with patch.object(store, 'load', forgetful):
         yield
@@ -220,7 +220,7 @@
     def silent(state: Any, now: Any, out: list) -> Any:
         return state
 
-    with patch.object(core, 'send_hello', silent), patch.object(store, 'greet', silent):
+    with patch.object(core, 'send_hello', silent), patch.object(store, 'send_hello', silent):
         yield
 
 
