--- a/features/disks.feature
+++ b/features/disks.feature
@@ -1,34 +1,34 @@
-Feature: A disk that takes nothing, and a file that is torn
+Feature: Disks that accept no writes, and corrupt files
 
-  Scenario: what a full disk does not take waits, in order, until there is room
+  Scenario: writes to a full disk wait, in order, until there is room
     Given a data folder with one synced row
     When its database may not grow and three batches are written, the first one too large
-    Then none of them is done within 1 second
+    Then none of them completes within 1 second
     When its database may grow again
-    Then they are done in the order in which they came, and a new start finds all of it
+    Then they complete in the order in which they were issued, and a restart finds all of their rows
 
   Scenario: after a failed sync the whole batch is written again
     Given a data folder with one synced row
-    When the next 2 commits fail as a failed sync does, and a batch of 3 rows is written
-    Then its 3 rows were written 3 times, and a new start finds all of it
+    When the next 2 commits fail as after a failed sync, and a batch of 3 rows is written
+    Then its 3 rows were written 3 times, and a restart finds all of them
 
   Scenario: a start on a full disk waits for room
     Given a data folder with one synced row
-    When it is opened while its disk has no room for the next 3 tries
-    Then it opens at the fourth and finds its row
+    When it is opened while its disk has no room for the first 3 attempts
+    Then it opens at the fourth attempt and its row is there
 
-  Scenario: a torn file is set aside once, and its folder begins empty
+  Scenario: a torn file is set aside once, and its folder starts empty
     Given a data folder with a torn file
-    Then opening it finds it corrupt, and after it is set aside it opens empty and knows of it
+    Then opening it fails as corrupt, and after the file is set aside it opens empty and reports that
 
-  Scenario: a loss of power between the two names of a file that is set aside
+  Scenario: a power failure between the two renames of a file that is set aside
     Given a data folder whose log holds a row and whose database was already renamed
     Then it opens empty
 
-  Scenario Outline: a blocked <role> holds a bounded number of writes, says that it cannot confirm, and serves again
+  Scenario Outline: a blocked <role> queues a bounded number of writes, refuses requests, and serves again after the stall
     Given the deployment "cartalume" in the simulator with seed <seed>
-    When the disk of a <role> stalls for 20 seconds while it is asked 50 times a second
-    Then it answered "<role>_away" within 1.5 seconds and to the end, and at most 200 writes waited
+    When the disk of a <role> stalls for 20 seconds while it is sent 50 requests a second
+    Then it answered "<role>_away" from 1.5 seconds on until the stall ended, with at most 200 writes queued
     And after the stall it has written all of them and serves within 5 seconds
 
     Examples:
@@ -36,27 +36,27 @@
       | core  | 61   |
       | store | 62   |
 
-  Scenario Outline: a <role> with a torn file comes back as a new member
+  Scenario Outline: a <role> with a torn file rejoins as a new member
     Given the deployment "cartalume" in the simulator with seed <seed>
-    When the file of a <role> is torn and its process starts again
-    Then it lives in one process under a new name and is a member within 12 seconds
-    And what was acknowledged before is shown
+    When the file of a <role> is torn and its process restarts
+    Then the same process runs under a new name and is a member within 12 seconds
+    And the change acknowledged before is read
 
     Examples:
       | role  | seed |
       | core  | 63   |
       | store | 64   |
 
-  Scenario: three cores with torn files found no other fleet
+  Scenario: three cores with torn files form no second fleet
     Given the deployment "cartalume" in the simulator with seed 65
-    When the files of all cores are torn and their processes start again
+    When the files of all cores are torn and their processes restart
     Then after 15 seconds none of them has a fleet
 
-  Scenario Outline: <changes> changes while a core and a store are away, at <deploy>
+  Scenario Outline: <changes> changes while a core and a store are down, at <deploy>
     Given the deployment "<deploy>" in the simulator with seed <seed>
-    When a core and a store are away during <changes> changes and come back while changes go on
-    Then they are full members within 4 seconds of their return
-    And when the core's primary is lost then, the one that leads shows what was acknowledged last
+    When a core and a store are down during <changes> changes and restart while changes continue
+    Then they are full members within 4 seconds of their restart
+    And when the core's primary is then lost, the new primary shows the change acknowledged last
 
     Examples:
       | deploy     | changes | seed |
@@ -64,8 +64,8 @@
       | hipotecalc | 300     | 67   |
       | cartalume  | 3000    | 68   |
 
-  Scenario: news that comes to a blocked store while older news waits for its disk
-    Given a store with generation 4 on disk, whose disk takes nothing while it writes generation 5
-    When the answer to its last word brings generation 6, and an older core's brings generation 5
-    And its disk takes what waits, one write after another
-    Then it says generations 5 and 6 in this order, each once it is on disk, and none after that
+  Scenario: an update that reaches a blocked store while an older one waits for its disk
+    Given a store with generation 4 on disk, whose disk accepts no writes while it writes generation 5
+    When the reply to its last poll brings generation 6, and one of an outdated core generation 5
+    And its disk accepts the waiting writes, one after another
+    Then it reports generations 5 and 6 in this order, each once it is on disk, and no other after that
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -46,9 +46,7 @@
     seeds: tuple
     copies: group.State = group.State('')
     core_addresses: tuple = ()
-    core_primary: str | None = (
-        None  # address of the core that last answered as the primary or was named as it
-    )
+    core_primary: str | None = None  # address of the core that is believed to be the primary
     placement_version: int = 0
     replica_sets: dict = {}  # partition -> its replica set, as the core last reported it
     store_addresses: dict = {}
@@ -92,12 +90,7 @@
     1
     """
     process_rows = rows.get('', {})
-    placement_version, replica_sets, store_addresses, node_addresses = process_rows.get('map') or (
-        0,
-        {},
-        {},
-        (),
-    )
+    version, replica_sets, store_addresses, node_addresses = process_rows.get('map') or (0, {}, {}, ())
     record = register.decode_record(process_rows.get('word'))
     # Which leases were renewed before this start is not known, so any node's lease counts as renewed now.
     renewed_leases = Map({(register.ANY_NODE, 0): now}) if record.number else Map()
@@ -112,7 +105,7 @@
         tuple(process_rows.get('core') or startup['seeds']),
         fleet_id=process_rows.get('fleet_id'),
         http_address=startup.get('http'),
-        placement_version=placement_version,
+        placement_version=version,
         replica_sets=replica_sets,
         store_addresses=store_addresses,
         node_addresses=tuple(node_addresses),
@@ -390,7 +383,7 @@
 
 
 def track_unserved(state: Store, now: datetime) -> Store:
-    """Return the state with the times since when partitions of this primary are not served brought up to date."""
+    """Return the state with `unserved_since` updated: the partitions that this primary cannot serve now."""
     unserved_since = state.unserved_since
     for partition, copy in state.copies.partitions.items():
         is_primary = (
