--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -13,7 +13,7 @@
 from gateway_keyed import keyed, runs_of
 from standin import PARTS, event, until
 
-from quillstall.controlplane import shelf, weight
+from quillstall.controlplane import deduplication, store_table
 from quillstall.dataplane.node import Node
 from quillstall.network import httpclient
 from quillstall.replication.rendezvous import part_of
@@ -163,10 +163,10 @@
     part = part_of(record, len(PARTS))
 
     def row():
-        return weight.unpack(story.stores.rows[part][f'once/{record}'])
+        return deduplication.unpack(story.stores.rows[part][f'once/{record}'])
 
-    story.run(until(lambda: len(shelf.given_up(row())) == 2))
-    assert row()['state'] == 'begun' and row()['run'] not in shelf.given_up(row()), row()
+    story.run(until(lambda: len(store_table.abandoned_attempts(row())) == 2))
+    assert row()['state'] == 'begun' and row()['run'] not in store_table.abandoned_attempts(row()), row()
 
 
 CAUSES = {
--- a/features/steps/keyed_model.py
+++ b/features/steps/keyed_model.py
@@ -10,7 +10,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import shelf
+from quillstall.controlplane import store_table
 from quillstall.runtime.errors import Fault
 
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
@@ -56,7 +56,7 @@
     """The rows after a command, and what the store returns: its word of the key, or the fault's code."""
     table = Map(dict(rows))
     try:
-        changes, ret = shelf.apply(table, command, NOW)
+        changes, ret = store_table.apply(table, command, NOW)
     except Fault as e:
         return rows, e.code
     for key, value in changes:
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -12,7 +12,7 @@
 from immutables import Map
 from platform_folder import FIRST, document, rule
 
-from quillstall.controlplane import book, core
+from quillstall.controlplane import core, core_table
 from quillstall.replication.group import Op, Seat, lay
 from quillstall.runtime.effect import Ask, Heard, Return, Tick, Told, Write, Wrote
 from quillstall.runtime.errors import Fault
@@ -169,7 +169,7 @@
 
 def taken(rows, order):
     """The table after an order, the answer, and what was written."""
-    changes, ret = book.apply(rows, order.command(), NOW)
+    changes, ret = core_table.apply(rows, order.command(), NOW)
     return lay(rows, changes), ret, changes
 
 
@@ -599,7 +599,9 @@
 def forgetful(context):
     context.stack = ExitStack()
     context.add_cleanup(context.stack.close)
-    context.stack.enter_context(patch.object(book.requests, 'record', lambda rows, request, outcome: ()))
+    context.stack.enter_context(
+        patch.object(core_table.requests, 'record', lambda rows, request, outcome: ())
+    )
 
 
 @when('operators send 8 orders at a time while the primary {trouble}, seed {seed:d}')
--- a/features/steps/standin.py
+++ b/features/steps/standin.py
@@ -17,7 +17,7 @@
 from tornado.tcpserver import TCPServer
 
 from quillstall.configuration.policy import check
-from quillstall.controlplane import shelf
+from quillstall.controlplane import store_table
 from quillstall.dataplane.admission.messages import News
 from quillstall.dataplane.node import Node
 from quillstall.network.listing import Listing, digest
@@ -67,7 +67,7 @@
         part, command = message['part'], cbor2.loads(cbor2.dumps(message['command']))
         if address != self.book[self.seats[part][2]]:
             raise Fault('moved', part, more={'seat': self.seats[part]})
-        changes, ret = shelf.apply(self.rows[part], command, self.clock.now() + self.ahead)
+        changes, ret = store_table.apply(self.rows[part], command, self.clock.now() + self.ahead)
         for key, value in changes:
             self.rows[part] = (
                 self.rows[part].delete(key) if value is None else self.rows[part].set(key, value)
--- a/src/quillstall/controlplane/core.py
+++ b/src/quillstall/controlplane/core.py
@@ -6,7 +6,15 @@
 
 from immutables import Map
 
-from quillstall.controlplane import book, formation, leases, membership, placement, pooled_failures, status
+from quillstall.controlplane import (
+    core_table,
+    formation,
+    leases,
+    membership,
+    placement,
+    pooled_failures,
+    status,
+)
 from quillstall.controlplane.core_state import (
     STORE_TIMEOUT,
     Core,
@@ -383,7 +391,7 @@
     As in joint consensus, majorities of both the old and the new register count until both have majorities that
     know the new one and the leases granted before that have expired."""
     rows = confirmed_rows(state)
-    if not book.named(rows, 'part/'):
+    if not core_table.rows_with_prefix(rows, 'part/'):
         return state
     current = current_register(state)
     if current['old']:
@@ -420,12 +428,14 @@
     the register is checked here."""
     rows, current = confirmed_rows(state), current_register(state)
     retiring = [
-        n for n, r in book.named(rows, 'member/') if r['state'] == 'retiring' and not r.get('emptied')
+        n
+        for n, r in core_table.rows_with_prefix(rows, 'member/')
+        if r['state'] == 'retiring' and not r.get('emptied')
     ]
     live = [n.name for n in placement.live_stores(state, now)]
     if (
         not retiring
-        or not book.whole(rows, live, replication_factor(state))
+        or not core_table.fully_replicated(rows, live, replication_factor(state))
         or old_leases_may_run(state, now)
     ):
         return state
@@ -471,8 +481,8 @@
             'policy_generation': rows.get('policy_gen', 0),
             'policy': rows.get('policy'),
             'source': rows.get('source'),
-            'asked': book.repeated(rows, {'id': tag[3]}) if len(tag) > 3 else None,
-            'leaving': [n for n, _ in book.named(rows, 'leaving/')],
+            'asked': core_table.recorded_answer(rows, {'id': tag[3]}) if len(tag) > 3 else None,
+            'leaving': [n for n, _ in core_table.rows_with_prefix(rows, 'leaving/')],
             'status': status.status(state, now, rows),
         }
     effects.append(Return(call, reply))
@@ -484,7 +494,7 @@
 
     Enough is one more than there are copies or, after two lease times, as many as there are copies."""
     rows = confirmed_rows(state)
-    if book.named(rows, 'part/') or state.primary_since is None:
+    if core_table.rows_with_prefix(rows, 'part/') or state.primary_since is None:
         return state
     zones = {n.name: n.zone for n in placement.live_stores(state, now)}
     if (
@@ -563,10 +573,12 @@
         return state
     rows = confirmed_rows(state)
     reachable = {n.address for n in state.nodes.values() if now - n.last_heard <= STORE_TIMEOUT}
-    addresses = {a for a, _ in book.named(rows, 'known/')} | {
+    addresses = {a for a, _ in core_table.rows_with_prefix(rows, 'known/')} | {
         a for _, a in current_voters(state) if a != state.address
     }
-    addresses |= {r['address'] for _, r in book.named(rows, 'member/') if r['state'] != 'replaced'}
+    addresses |= {
+        r['address'] for _, r in core_table.rows_with_prefix(rows, 'member/') if r['state'] != 'replaced'
+    }
     silent = sorted(addresses - reachable)
     offset = int(now.timestamp()) * MAX_HELLOS % max(1, len(silent))
     message = {
--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -6,7 +6,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import book
+from quillstall.controlplane import core_table
 from quillstall.replication import ballot, group, register
 from quillstall.replication.group import Seat
 from quillstall.replication.register import LEASE
@@ -247,7 +247,7 @@
 def apply_command(partition: str, rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
     """Apply a command to the core table, as the replica group requires it:
     `apply_command('core', rows, {'op': 'confirm'}, now)`."""
-    return book.apply(rows, command, now)
+    return core_table.apply(rows, command, now)
 
 
 def core_copy(state: Core) -> group.Copy | None:
--- a/src/quillstall/controlplane/leases.py
+++ b/src/quillstall/controlplane/leases.py
@@ -7,7 +7,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import allot, book, placement, pooled_failures
+from quillstall.controlplane import allot, core_table, placement, pooled_failures
 from quillstall.controlplane.core_state import (
     PEER_REPORT_VALIDITY,
     RECENT_POLL,
@@ -218,14 +218,14 @@
     }
     if lacks_generation(node, generation):
         reply.update(policy_for(node, state.packed_policy))
-        reply['leaving'] = [n for n, _ in book.named(rows, 'leaving/')]
+        reply['leaving'] = [n for n, _ in core_table.rows_with_prefix(rows, 'leaving/')]
     store_register = rows.get('register') or register.NEVER
     if node.register_number < store_register['number']:
         reply['register'] = store_register
     if node.placement_version != placement_version:
-        reply['seats'] = {p: list(s) for p, s in book.named(rows, 'part/')}
-        reply['book'] = {n: r['address'] for n, r in book.named(rows, 'member/')}
-        reply['known'] = [a for a, _ in book.named(rows, 'known/')]
+        reply['seats'] = {p: list(s) for p, s in core_table.rows_with_prefix(rows, 'part/')}
+        reply['book'] = {n: r['address'] for n, r in core_table.rows_with_prefix(rows, 'member/')}
+        reply['known'] = [a for a, _ in core_table.rows_with_prefix(rows, 'known/')]
     if node.role == 'route' and listing.newer(node.listing, state.listing):
         reply['listing'] = listing.to_wire(state.listing, now)
     elif node.role == 'route' and state.listing and node.listing.get('digest') == state.listing['digest']:
--- a/src/quillstall/controlplane/placement.py
+++ b/src/quillstall/controlplane/placement.py
@@ -2,7 +2,7 @@
 
 from datetime import datetime, timedelta
 
-from quillstall.controlplane import book
+from quillstall.controlplane import core_table
 from quillstall.controlplane.core_state import (
     PEER_REPORT_VALIDITY,
     RECENT_POLL,
@@ -82,7 +82,11 @@
     its own."""
     if not state.degraded_mode:
         return set()
-    return {n for n, row in book.named(confirmed_rows(state), 'member/') if row['state'] == 'replaced'}
+    return {
+        n
+        for n, row in core_table.rows_with_prefix(confirmed_rows(state), 'member/')
+        if row['state'] == 'replaced'
+    }
 
 
 def min_members(copies: int, missing: list[str], lost_disks: set[str]) -> int:
@@ -153,7 +157,7 @@
         return []
     in_grace = in_startup_grace(state, now)
     live = {n.name: n for n in live_stores(state, now)}
-    known = dict(book.named(rows, 'member/'))
+    known = dict(core_table.rows_with_prefix(rows, 'member/'))
     eligible = {n: r['zone'] for n, r in known.items() if r['state'] == 'in' and n in live}
     stalled = {
         n: {(name, epoch): set(waiting_for) for name, epoch, waiting_for in node.stalled_partitions}
@@ -165,7 +169,7 @@
     copies = replication_factor(state)
     lost_disks = stores_with_lost_disks(state)
     urgent, repairs, rebalances = [], [], []
-    for partition, row in book.named(rows, 'part/'):
+    for partition, row in core_table.rows_with_prefix(rows, 'part/'):
         replica_set = Seat(*row)
         failed = failed_members(
             replica_set, live, stalled.get(replica_set.primary, {}).get((partition, replica_set.epoch))
@@ -289,7 +293,11 @@
 def desired_register(state: Core, now: datetime) -> dict:
     """Return the stores that the register should hold, with their addresses: the live ones and, if they are fewer
     than three, registered ones that may come back."""
-    known = {n: r['address'] for n, r in book.named(confirmed_rows(state), 'member/') if r['state'] == 'in'}
+    known = {
+        n: r['address']
+        for n, r in core_table.rows_with_prefix(confirmed_rows(state), 'member/')
+        if r['state'] == 'in'
+    }
     live = [n.name for n in live_stores(state, now) if n.name in known]
     absent = [n for n in current_register(state)['now'] if n in known and n not in live]
     return {n: known[n] for n in sorted(live + absent[: max(0, MIN_REGISTERED_STORES - len(live))])}
--- a/src/quillstall/controlplane/requests.py
+++ b/src/quillstall/controlplane/requests.py
@@ -1,11 +1,12 @@
-"""Requests: the durable record of the changes that the core's table has taken, by their request ids.
-
-A change that is sent again has its first answer from here. Each taken change has one row, so that a
-change writes as much at the end of a long day as at its start. The record is bounded: the oldest rows
-are dropped, and what is then no longer known is decided by numbers. Generations rise with every change
-and the numbers of numbered changes rise too, so a change whose number is above the highest dropped one
-was never among the dropped: it can be refused. Any other that is not on record may have been taken, and
-its outcome is unknown.
+"""The durable record of the changes that the core's table has applied, by request id.
+
+A change that is sent again is answered from this record. Each applied change has a row of its own, so that a change
+writes the same amount however many came before it.
+
+The record is bounded: the oldest rows are dropped, and the outcome of a request without a row is decided by numbers.
+Generations rise with every change, and so do the versions of numbered changes. A change whose number is above the
+highest dropped one was therefore never dropped, hence never applied, and can be refused. Any other request without
+a row may have been applied, and its outcome is unknown.
 """
 
 from typing import NamedTuple
@@ -14,18 +15,18 @@
 
 from quillstall.runtime.errors import Fault
 
-PREFIX = 'request/'
-SUMMARY = 'requests'
-OLD_FORM = 'asks'  # one row that held the newest requests, each with its answer
-OLD_FORM_MOST = 200  # so many requests the old form kept
-KEPT = 4096
-DROPPED_AT_ONCE = 256  # the oldest are looked for once in so many changes
+KEY_PREFIX = 'request/'
+SUMMARY_KEY = 'requests'
+LEGACY_KEY = 'asks'  # the former format: one row that held the newest requests, each with its answer
+MAX_LEGACY_REQUESTS = 200  # that the former format held
+MAX_RECORDS = 4096
+DROP_BATCH = 256  # requests above the limit before the oldest are searched for and dropped
 
 Changes = tuple[tuple, ...]
 
 
 class Outcome(NamedTuple):
-    """What a taken change became: a generation, and its own number if it carried one.
+    """The outcome of an applied change: its generation, and its version if it is a numbered change.
 
     >>> Outcome(7, 12).answer()
     {'ok': True, 'generation': 7, 'version': 12}
@@ -37,13 +38,13 @@
     version: int | None = None
 
     def answer(self) -> dict:
-        """The answer to the change: `outcome.answer()`."""
-        out = {'ok': True, 'generation': self.generation}
-        return out if self.version is None else {**out, 'version': self.version}
+        """Return the answer to the change: `outcome.answer()`."""
+        answer = {'ok': True, 'generation': self.generation}
+        return answer if self.version is None else {**answer, 'version': self.version}
 
 
 class Summary(NamedTuple):
-    """How many requests are on record, and the highest numbers among those that were dropped."""
+    """The number of requests on record, and the highest generation and version among those dropped."""
 
     count: int = 0
     dropped_generation: int = 0
@@ -51,22 +52,22 @@
 
 
 def summary(rows: Map) -> Summary:
-    """The record's summary, also where the rows are still of the old form.
+    """Return the summary of the record; rows in the former format are supported.
 
-    >>> summary(Map({OLD_FORM: [['a', {'generation': 9, 'version': 4}]] * OLD_FORM_MOST}))
+    >>> summary(Map({LEGACY_KEY: [['a', {'generation': 9, 'version': 4}]] * MAX_LEGACY_REQUESTS}))
     Summary(count=0, dropped_generation=8, dropped_version=3)
     """
-    if SUMMARY in rows:
-        return Summary(*rows[SUMMARY])
-    old = rows.get(OLD_FORM, ())
-    if len(old) < OLD_FORM_MOST:
+    if SUMMARY_KEY in rows:
+        return Summary(*rows[SUMMARY_KEY])
+    legacy = rows.get(LEGACY_KEY, ())
+    if len(legacy) < MAX_LEGACY_REQUESTS:
         return Summary()
-    oldest = _old_outcome(old[0][1])
+    oldest = _legacy_outcome(legacy[0][1])
     return Summary(0, oldest.generation - 1, (oldest.version or 1) - 1)
 
 
 def find(rows: Map, request: str | None) -> Outcome | None:
-    """The outcome of a request that was taken, if it is on record.
+    """Return the outcome of an applied request, or None if it is not on record.
 
     >>> rows = Map({'request/a': [3, None]})
     >>> find(rows, 'a'), find(rows, 'b'), find(rows, None)
@@ -74,17 +75,17 @@
     """
     if not request:
         return None
-    row = rows.get(PREFIX + request)
+    row = rows.get(KEY_PREFIX + request)
     if row is not None:
         return Outcome(*row)
-    for name, answer in rows.get(OLD_FORM, ()):
+    for name, answer in rows.get(LEGACY_KEY, ()):
         if name == request:
-            return _old_outcome(answer)
+            return _legacy_outcome(answer)
     return None
 
 
 def record(rows: Map, request: str | None, outcome: Outcome) -> Changes:
-    """The changes of rows that put a taken request on record, and drop the oldest where there are too many.
+    """Return the changes of rows that record an applied request and drop the oldest above the limit.
 
     >>> dict(record(Map(), 'a', Outcome(3)))
     {'request/a': [3, None], 'requests': [1, 0, 0]}
@@ -94,57 +95,57 @@
     if not request:
         return ()
     before = summary(rows)
-    added = _from_old_form(rows)
-    added[PREFIX + request] = list(outcome)
+    added = _rows_from_legacy(rows)
+    added[KEY_PREFIX + request] = list(outcome)
     count = before.count + len(added)
     changes: Changes = tuple(added.items())
-    if OLD_FORM in rows:
-        changes += ((OLD_FORM, None),)
+    if LEGACY_KEY in rows:
+        changes += ((LEGACY_KEY, None),)
     after = before._replace(count=count)
-    if count >= KEPT + DROPPED_AT_ONCE:
+    if count >= MAX_RECORDS + DROP_BATCH:
         after, dropped = _drop(rows, after)
         changes += dropped
-    return changes + ((SUMMARY, list(after)),)
+    return changes + ((SUMMARY_KEY, list(after)),)
 
 
-def refuse_only_if_never_taken(
+def check_never_dropped(
     rows: Map, request: str | None, generation: int | None, version: int | None
 ) -> None:
-    """Raise Fault 'outcome_unknown' for a request that is not on record and may have been dropped from it.
+    """Raise Fault 'outcome_unknown' if a request without a row may have been dropped from the record.
 
-    `version` is the number that the change carries; for one without, `generation` is the one that it
-    builds on. Without either nothing can be said, and nothing is raised.
+    `version` is the version of a numbered change; of any other, `generation` is the generation that it builds
+    on. Without either the request counts as never dropped.
 
-    >>> rows = Map({SUMMARY: [4096, 50, 120]})
-    >>> refuse_only_if_never_taken(rows, 'a', None, 121)
-    >>> refuse_only_if_never_taken(rows, 'a', None, 120)
+    >>> rows = Map({SUMMARY_KEY: [4096, 50, 120]})
+    >>> check_never_dropped(rows, 'a', None, 121)
+    >>> check_never_dropped(rows, 'a', None, 120)
     Traceback (most recent call last):
     quillstall.runtime.errors.Fault: outcome_unknown: so old a request is no longer on record
     """
     if not request:
         return
-    dropped = summary(rows)
-    forgotten = version is not None and version <= dropped.dropped_version
-    if version is None and generation is not None:  # taken, it would have made the next generation or a later
-        forgotten = generation < dropped.dropped_generation
-    if forgotten:
+    totals = summary(rows)
+    may_be_dropped = version is not None and version <= totals.dropped_version
+    if version is None and generation is not None:  # if applied, it made a later generation than its base
+        may_be_dropped = generation < totals.dropped_generation
+    if may_be_dropped:
         raise Fault('outcome_unknown', 'so old a request is no longer on record')
 
 
-def _old_outcome(answer: dict) -> Outcome:
+def _legacy_outcome(answer: dict) -> Outcome:
     return Outcome(answer['generation'], answer.get('version'))
 
 
-def _from_old_form(rows: Map) -> dict[str, list]:
-    """The rows for the requests that the old form holds."""
-    return {PREFIX + name: list(_old_outcome(answer)) for name, answer in rows.get(OLD_FORM, ())}
+def _rows_from_legacy(rows: Map) -> dict[str, list]:
+    """Return the rows of the present format for the requests in the former one."""
+    return {KEY_PREFIX + name: list(_legacy_outcome(answer)) for name, answer in rows.get(LEGACY_KEY, ())}
 
 
 def _drop(rows: Map, before: Summary) -> tuple[Summary, Changes]:
-    """Drop the oldest requests, down to `KEPT`."""
-    known = [(Outcome(*row), key) for key, row in rows.items() if key.startswith(PREFIX)]
-    known.sort(key=lambda item: item[0].generation)
-    oldest = known[: before.count - KEPT]
+    """Return the summary and the changes of rows after the oldest requests are dropped, down to the limit."""
+    recorded = [(Outcome(*row), key) for key, row in rows.items() if key.startswith(KEY_PREFIX)]
+    recorded.sort(key=lambda item: item[0].generation)
+    oldest = recorded[: before.count - MAX_RECORDS]
     generation = max(outcome.generation for outcome, _ in oldest)
     version = max((outcome.version or 0) for outcome, _ in oldest)
     after = Summary(
--- a/src/quillstall/controlplane/status.py
+++ b/src/quillstall/controlplane/status.py
@@ -4,7 +4,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import book, placement
+from quillstall.controlplane import core_table, placement
 from quillstall.controlplane.core_state import (
     Core,
     confirmed_rows,
@@ -72,10 +72,10 @@
     members = {
         n: {
             **row,
-            'parts': book.sits(rows, n),
+            'parts': core_table.partition_count(rows, n),
             'off': bool(row.get('emptied')),
         }
-        for n, row in book.named(rows, 'member/')
+        for n, row in core_table.rows_with_prefix(rows, 'member/')
     }
     primary_ms = (now - state.primary_since) // timedelta(milliseconds=1) if state.primary_since else None
     return {
@@ -89,12 +89,12 @@
         'place': rows.get('place', 0),
         'nodes': nodes,
         'members': members,
-        'parts': {p: list(s) for p, s in book.named(rows, 'part/')},
+        'parts': {p: list(s) for p, s in core_table.rows_with_prefix(rows, 'part/')},
         'plans': [list(p) for p in placement.plan_reconfigurations(state, now)] if is_primary(state) else [],
         'core': [list(w) for w in current_voters(state)],
         'guests': {address: core[0] for address, core in sorted(state.waiting_cores.items())},
         'register': registered,
         'waits': [w.generation for w in state.pending_changes],
         'allot': state.allocations,
-        'leaving': [n for n, _ in book.named(rows, 'leaving/')],
+        'leaving': [n for n, _ in core_table.rows_with_prefix(rows, 'leaving/')],
     }
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -5,7 +5,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import shelf
+from quillstall.controlplane import store_table
 from quillstall.network.packing import with_policy
 from quillstall.replication import group, register, watch
 from quillstall.replication.group import Grant, Move, Op, Seat
@@ -125,7 +125,7 @@
     restart: they are wall times, `apply_at_wall_time(state.wall_ahead)('p00', rows, command, now)`."""
 
     def apply_part(part: str, rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
-        return shelf.apply(rows, command, now + wall_ahead)
+        return store_table.apply(rows, command, now + wall_ahead)
 
     return apply_part
 
--- a/src/quillstall/controlplane/shelf.py
+++ b/src/quillstall/controlplane/store_table.py
@@ -6,7 +6,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import weight
+from quillstall.controlplane import deduplication
 from quillstall.runtime.errors import Fault
 
 SWEEP_MOST = 200
@@ -43,13 +43,15 @@
     history = []
     conv = c['turn']
     if c.get('continues'):
-        turn = weight.unpack(rows.get(f'turn/{c["continues"]}'))
+        turn = deduplication.unpack(rows.get(f'turn/{c["continues"]}'))
         if turn is None:
             raise Fault('turn_unknown', c['continues'])
         conv = turn['conv']
         while turn is not None:
-            history.append([weight.grow(turn['prompt'], lambda name: rows[f'block/{name}'][0]), turn['text']])
-            turn = weight.unpack(rows.get(f'turn/{turn["prev"]}')) if turn['prev'] else None
+            history.append(
+                [deduplication.restore(turn['prompt'], lambda name: rows[f'block/{name}'][0]), turn['text']]
+            )
+            turn = deduplication.unpack(rows.get(f'turn/{turn["prev"]}')) if turn['prev'] else None
         history.reverse()
     key = f'prog/{c["program"]}'
     prog = rows.get(key) or {'budget': c['budget'], 'spent': 0, 'holds': {}}
@@ -98,13 +100,13 @@
         until = now.timestamp() + c['keeping_s']
         conv = rows.get(f'conv/{keep["conv"]}') or {'turns': (), 'until': 0}
         until = max(until, conv['until'])
-        blocks, prompt = weight.shrink(keep['prompt'])
-        names = weight.names_of(prompt)
+        blocks, prompt = deduplication.extract_blocks(keep['prompt'])
+        names = deduplication.block_digests(prompt)
         for before in conv['turns']:  # the conversation is kept longer: so is what its turns need
-            names += weight.names_of(weight.unpack(rows[f'turn/{before}'])['prompt'])
-        changes += weight.hold(rows, blocks, names, until, c['keeping_s'])
+            names += deduplication.block_digests(deduplication.unpack(rows[f'turn/{before}'])['prompt'])
+        changes += deduplication.retain_blocks(rows, blocks, names, until, c['keeping_s'])
         changes += (
-            (f'turn/{c["turn"]}', weight.pack({**keep, 'prompt': prompt})),
+            (f'turn/{c["turn"]}', deduplication.pack({**keep, 'prompt': prompt})),
             (f'conv/{keep["conv"]}', {'turns': tuple(conv['turns']) + (c['turn'],), 'until': until}),
         )
     return changes, {'ok': True, 'spent': prog['spent'] + c['used'] if prog else c['used']}
@@ -128,7 +130,7 @@
     quillstall.runtime.errors.Fault: refused: this try has been given up
     """
     key = f'once/{c["key"]}'
-    row = weight.unpack(rows.get(key))
+    row = deduplication.unpack(rows.get(key))
     if c['run'] in given_up(row):
         raise Fault('refused', 'this try has been given up')  # its claim came late, after that word
     if row is None or (row['state'] == 'void' and row['digest'] in (None, c['digest'])):
@@ -140,7 +142,7 @@
             'until': c['until'],
             'given_up': given_up(row),
         }
-        return ((key, weight.pack(fresh)),), {'ok': True, 'state': 'fresh'}
+        return ((key, deduplication.pack(fresh)),), {'ok': True, 'state': 'fresh'}
     if row['digest'] != c['digest']:
         raise Fault('key_reused', 'the key came with another body before')
     if row['state'] == 'begun' and row['run'] == c['run']:
@@ -170,7 +172,7 @@
 def once_end(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
     """Keep the return of once-work; or, with `void`, that this run of it certainly never happens."""
     key = f'once/{c["key"]}'
-    row = weight.unpack(rows.get(key))
+    row = deduplication.unpack(rows.get(key))
     if row is None and c.get('void'):
         row = {
             'state': 'begun',
@@ -186,7 +188,7 @@
     if row['state'] != 'begun':
         return (), {'ok': True}
     state = 'void' if c.get('void') else 'done'
-    return ((key, weight.pack({**row, 'state': state, 'ret': c.get('ret')})),), {'ok': True}
+    return ((key, deduplication.pack({**row, 'state': state, 'ret': c.get('ret')})),), {'ok': True}
 
 
 def give_up(key: str, row: dict, run: str) -> tuple:
@@ -194,7 +196,7 @@
     runs = given_up(row)
     if run in runs:
         return ()
-    return ((key, weight.pack({**row, 'given_up': [*runs, run][-GIVEN_UP_MOST:]})),)
+    return ((key, deduplication.pack({**row, 'given_up': [*runs, run][-GIVEN_UP_MOST:]})),)
 
 
 def turn_begin(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
@@ -317,7 +319,7 @@
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> old = Map({'once/a': weight.pack({'until': t.timestamp() - SKEW_S - 1}), 'once/b': weight.pack(
+    >>> old = Map({'once/a': deduplication.pack({'until': t.timestamp() - SKEW_S - 1}), 'once/b': deduplication.pack(
     ...     {'until': t.timestamp() - SKEW_S + 1}), 'block/c': ['text', t.timestamp() - SKEW_S - 1]})
     >>> changes, ret = sweep(old, {'program_s': 60, 'from': 0}, t); sorted(changes), ret['at']
     ([('block/c', None), ('once/a', None)], 0)
@@ -333,7 +335,7 @@
             break
         seen += 1
         kind = key.partition('/')[0]
-        if kind == 'once' and weight.unpack(row)['until'] < past:
+        if kind == 'once' and deduplication.unpack(row)['until'] < past:
             changes += ((key, None),)
         elif kind == 'block' and row[1] < past:
             changes += ((key, None),)
--- a/src/quillstall/testbed/explore.py
+++ b/src/quillstall/testbed/explore.py
@@ -20,7 +20,7 @@
 CUT_S = 20.0  # how long a leader is cut off
 CLOCK_STEP = timedelta(seconds=2)
 STEPPED_SHARE = 0.3  # of all machines
-CLOCKS_S = 140.0  # any two clocks differ by less than controlplane/shelf.py's SKEW_S
+CLOCKS_S = 140.0  # any two clocks differ by less than controlplane/store_table.py's SKEW_S
 DRIFT = 0.0005
 PAIRS = (  # failures that may overlap: they strike different machines, one disk at most
     ('core_cut', 'store_swap'),
--- a/src/quillstall/testbed/model/breaks.py
+++ b/src/quillstall/testbed/model/breaks.py
@@ -7,7 +7,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import book, core, core_state, shelf
+from quillstall.controlplane import core, core_state, core_table, store_table
 from quillstall.replication import ballot, group
 from quillstall.replication.group import Box, Copy, Seat
 from quillstall.runtime.effect import Done, Propose, Return, Told, Write, Wrote
@@ -250,35 +250,35 @@
 @contextmanager
 def forget_repeats() -> Iterator[None]:
     """A change that is sent again is made again."""
-    with patch.object(book, 'repeated', lambda rows, c: None):
+    with patch.object(core_table, 'recorded_answer', lambda rows, c: None):
         yield
 
 
 @contextmanager
 def ignore_base() -> Iterator[None]:
     """A change is made whatever it was based on."""
-    real = book.put_policy
+    real = core_table.put_policy
 
     def put_policy(rows: Map, c: dict, now: Any) -> tuple:
         return real(rows, {**c, 'base': None}, now)
 
-    with patch.dict(book.OPS, {'apply': put_policy}):
+    with patch.dict(core_table.OPS, {'apply': put_policy}):
         yield
 
 
 @contextmanager
 def begin_again() -> Iterator[None]:
     """Unrepeatable work is begun whatever is kept under its key."""
-    real = shelf.OPS['once_begin']
+    real = store_table.OPS['once_begin']
 
-    with patch.dict(shelf.OPS, {'once_begin': lambda rows, c, now: real(Map(), c, now)}):
+    with patch.dict(store_table.OPS, {'once_begin': lambda rows, c, now: real(Map(), c, now)}):
         yield
 
 
 @contextmanager
 def grant_any_base() -> Iterator[None]:
     """The authority grants a replica set whichever it follows."""
-    real = book.seat
+    real = core_table.grant_replica_set
 
     def seat(rows: Map, c: dict, now: Any) -> tuple:
         have = tuple(rows[f'part/{c["part"]}'])
@@ -287,7 +287,7 @@
             return (), {'ok': True, 'seat': [have[0] + 1, epoch - 1, *names]}
         return real(rows, c, now)
 
-    with patch.object(book, 'seat', seat):
+    with patch.object(core_table, 'grant_replica_set', seat):
         yield
 
 
--- a/src/quillstall/testbed/model/members.py
+++ b/src/quillstall/testbed/model/members.py
@@ -5,7 +5,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import book, core, core_state, shelf
+from quillstall.controlplane import core, core_state, core_table, store_table
 from quillstall.replication import ballot, group
 from quillstall.replication.group import Grant, Op, Seat
 from quillstall.runtime.effect import Told
@@ -76,8 +76,8 @@
     if command['op'] == 'read':
         return (), {'ok': True, **observed(rows)._asdict()}
     if command['op'] == 'once_begin':
-        return shelf.apply(rows, command, now)
-    return book.apply(rows, command, now)
+        return store_table.apply(rows, command, now)
+    return core_table.apply(rows, command, now)
 
 
 class PartitionMember:
--- a/src/quillstall/testbed/model/world.py
+++ b/src/quillstall/testbed/model/world.py
@@ -7,7 +7,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import book
+from quillstall.controlplane import core_table
 from quillstall.replication.group import Grant, Move, Seat
 from quillstall.runtime.effect import Ask, Done, Heard, Note, Propose, Return, Tick, Told, Write, Wrote
 from quillstall.testbed.model import members
@@ -148,7 +148,7 @@
     """The authority's compare-and-set of the replica set, and its word to who asked."""
     part = host_of(world.setup).part
     rows = Map({f'part/{part}': tuple(world.seat)})
-    _, ret = book.seat(rows, {'part': part, 'seat': list(envelope.message)}, None)
+    _, ret = core_table.grant_replica_set(rows, {'part': part, 'seat': list(envelope.message)}, None)
     world = world._replace(seat=Seat(*ret['seat']))
     sender = world.members.get(envelope.sender)
     if sender is None or sender.starts != envelope.run:
--- a/src/quillstall/testbed/sabotage.py
+++ b/src/quillstall/testbed/sabotage.py
@@ -8,7 +8,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import book, core, leases, shelf, store
+from quillstall.controlplane import core, core_table, leases, store, store_table
 from quillstall.dataplane.admission import admission_state, reducer, service_time, waiting
 from quillstall.dataplane.admission.messages import Arrive
 from quillstall.dataplane.node import Node
@@ -115,12 +115,12 @@
 @contextmanager
 def spend_freely() -> Iterator[None]:
     """A program's open holds do not count."""
-    begin = shelf.begin
+    begin = store_table.begin
 
     def free(rows: Any, c: dict, now: Any) -> Any:
         return begin(rows, {**c, 'budget': None}, now)
 
-    with patch.dict(shelf.OPS, {'begin': free}):
+    with patch.dict(store_table.OPS, {'begin': free}):
         yield
 
 
@@ -358,19 +358,19 @@
 @contextmanager
 def sweep_early() -> Iterator[None]:
     """What is kept is swept ten minutes before its time."""
-    real = shelf.sweep
+    real = store_table.sweep
 
     def early(rows: Any, c: dict, now: Any) -> Any:
         return real(rows, c, now + timedelta(minutes=10, seconds=5))
 
-    with patch.dict(shelf.OPS, {'sweep': early}):
+    with patch.dict(store_table.OPS, {'sweep': early}):
         yield
 
 
 @contextmanager
 def trust_clocks() -> Iterator[None]:
     """What is kept is swept by the sweeper's clock alone, as if all clocks agreed."""
-    with patch.object(shelf, 'SKEW_S', 0):
+    with patch.object(store_table, 'SKEW_S', 0):
         yield
 
 
@@ -404,14 +404,14 @@
 @contextmanager
 def take_invalid() -> Iterator[None]:
     """The core checks no policy."""
-    with patch.object(book, 'check', lambda body: []):
+    with patch.object(core_table, 'check', lambda body: []):
         yield
 
 
 @contextmanager
 def losing_applies() -> Iterator[None]:
     """A policy that loses against another is refused, and put in force all the same."""
-    real = book.put_policy
+    real = core_table.put_policy
 
     def both(rows: Any, c: dict, now: Any) -> Any:
         try:
@@ -422,7 +422,7 @@
             changes, _ = real(rows, {**c, 'base': None, 'id': None}, now)
             return changes, e.pack()
 
-    with patch.dict(book.OPS, {'apply': both}):
+    with patch.dict(core_table.OPS, {'apply': both}):
         yield
 
 
--- a/src/quillstall/testbed/scale.py
+++ b/src/quillstall/testbed/scale.py
@@ -16,7 +16,7 @@
 from immutables import Map
 
 from quillstall.configuration.policy import check, merge
-from quillstall.controlplane import allot, core_state, leases, shelf
+from quillstall.controlplane import allot, core_state, leases, store_table
 from quillstall.network.web import fetch
 from quillstall.replication import group
 from quillstall.runtime.clock import of_ms
@@ -550,7 +550,7 @@
     for n in range(turns + 1):
         turn = f'p~{n:06d}'
         at = time.process_time()
-        changes, ret = shelf.apply(
+        changes, ret = store_table.apply(
             rows,
             {'op': 'begin', 'program': 'p', 'turn': turn, 'budget': None, 'hold': 16, 'continues': last},
             now,
@@ -559,7 +559,7 @@
         sent = len(cbor2.dumps(ret)) if n == turns else 0
         rows = group.lay(rows, changes)
         at = time.process_time()
-        changes, _ = shelf.apply(
+        changes, _ = store_table.apply(
             rows,
             {
                 'op': 'end',
--- a/src/quillstall/testbed/weigh.py
+++ b/src/quillstall/testbed/weigh.py
@@ -12,7 +12,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import shelf
+from quillstall.controlplane import store_table
 from quillstall.replication import group
 from quillstall.replication.group import Seat, Shift
 from quillstall.runtime.disk import Put, SqliteDisk
@@ -40,7 +40,7 @@
 
     def run(command: dict) -> None:
         nonlocal rows
-        changes, _ = shelf.apply(rows, command, T0)
+        changes, _ = store_table.apply(rows, command, T0)
         rows = group.lay(rows, changes)
 
     for n in range(turns // parts):
@@ -115,7 +115,7 @@
         late = T0 + timedelta(seconds=250)
         for _ in range(40):
             at = time.monotonic()
-            _, ret = shelf.sweep(rows, {'program_s': 86_400, 'from': place}, late)
+            _, ret = store_table.sweep(rows, {'program_s': 86_400, 'from': place}, late)
             place = ret.get('at', 0)
             pauses.append(time.monotonic() - at)
         shift = Shift('c', Seat(2, 1, 'a', 'c'), 'fill', tuple(sorted(rows)), rows)
