--- a/src/quillstall/controlplane/requests.py
+++ b/src/quillstall/controlplane/requests.py
@@ -108,9 +108,7 @@
     return changes + ((SUMMARY_KEY, list(after)),)
 
 
-def check_never_dropped(
-    rows: Map, request: str | None, generation: int | None, version: int | None
-) -> None:
+def check_never_dropped(rows: Map, request: str | None, generation: int | None, version: int | None) -> None:
     """Raise Fault 'outcome_unknown' if a request without a row may have been dropped from the record.
 
     `version` is the version of a numbered change; of any other, `generation` is the generation that it builds
--- a/src/quillstall/controlplane/store_table.py
+++ b/src/quillstall/controlplane/store_table.py
@@ -1,4 +1,7 @@
-"""Shelf: a store's table: program budgets, kept turns, once-records. Pure, like the book."""
+"""The replicated table of the stores: token budgets of programs, retained turns and keyed operations.
+
+Its commands are pure functions: from the rows and a command they return the changes of rows and the reply.
+"""
 
 from datetime import datetime
 from itertools import islice
@@ -9,144 +12,166 @@
 from quillstall.controlplane import deduplication
 from quillstall.runtime.errors import Fault
 
-SWEEP_MOST = 200
-SWEEP_ROWS = 2000  # how many rows one sweep looks at
-SKEW_S = 300  # how far the clocks of machines may differ: what is kept is kept that much longer
-KEPT_SKEW_S = (
-    10  # the same for turns under their caller's own id, whose time counts from the store's own word
+MAX_SWEEP_CHANGES = 200
+SWEEP_ROWS = 2000  # examined by one sweep
+SKEW_S = 300  # how far the clocks of machines may differ; rows are retained that much longer
+RETAINED_TURN_SKEW_S = (
+    10  # the same for turns with an id of their caller, as the store's own clock sets their end
 )
-GIVEN_UP_MOST = 16  # tries of one key whose late claims are known by name
-HOLD_S = 60  # how long past its deadline a hold without an outcome stays open
+MAX_ABANDONED_ATTEMPTS = 16  # of one key, whose late claims are still recognized
+RESERVATION_GRACE_S = 60  # after its deadline, while a reservation without an outcome stays open
 
 
-def apply(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
-    """One command on a part's rows.
+def apply(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Apply one command to the rows of a partition; return the changes of rows and the reply.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> ask = {'op': 'begin', 'program': 'p', 'turn': 'p.1', 'budget': 10, 'hold': 8, 'continues': None}
-    >>> changes, ret = apply(Map(), ask, t); ret['history']
+    >>> begin = {'op': 'begin', 'program': 'p', 'turn': 'p.1', 'budget': 10, 'hold': 8, 'continues': None}
+    >>> changes, reply = apply(Map(), begin, t); reply['history']
     []
     >>> rows = Map(dict(changes))
-    >>> apply(rows, {**ask, 'turn': 'p.2'}, t)[1]['ok']       # 0 spent + 8 held < 10
+    >>> apply(rows, {**begin, 'turn': 'p.2'}, t)[1]['ok']       # 0 spent + 8 reserved < 10
     True
-    >>> rows = rows.update(dict(apply(rows, {**ask, 'turn': 'p.2'}, t)[0]))
-    >>> apply(rows, {**ask, 'turn': 'p.3'}, t)
+    >>> rows = rows.update(dict(apply(rows, {**begin, 'turn': 'p.2'}, t)[0]))
+    >>> apply(rows, {**begin, 'turn': 'p.3'}, t)
     Traceback (most recent call last):
     quillstall.runtime.errors.Fault: budget: 0 spent and 16 held of 10
     """
-    return OPS[c['op']](rows, c, now)
+    return OPS[command['op']](rows, command, now)
 
 
-def begin(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
-    """Hold tokens for a turn before it goes to a replica, and give the history it continues."""
+def begin(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Reserve tokens for a turn before it is sent to a replica; reply with the history that it continues."""
     history = []
-    conv = c['turn']
-    if c.get('continues'):
-        turn = deduplication.unpack(rows.get(f'turn/{c["continues"]}'))
+    conversation = command['turn']
+    if command.get('continues'):
+        turn = deduplication.unpack(rows.get(f'turn/{command["continues"]}'))
         if turn is None:
-            raise Fault('turn_unknown', c['continues'])
-        conv = turn['conv']
+            raise Fault('turn_unknown', command['continues'])
+        conversation = turn['conv']
         while turn is not None:
             history.append(
-                [deduplication.restore(turn['prompt'], lambda name: rows[f'block/{name}'][0]), turn['text']]
+                [
+                    deduplication.restore(turn['prompt'], lambda digest: rows[f'block/{digest}'][0]),
+                    turn['text'],
+                ]
             )
             turn = deduplication.unpack(rows.get(f'turn/{turn["prev"]}')) if turn['prev'] else None
         history.reverse()
-    key = f'prog/{c["program"]}'
-    prog = rows.get(key) or {'budget': c['budget'], 'spent': 0, 'holds': {}}
-    if c['turn'] in prog['holds']:
-        return (), {'ok': True, 'history': history, 'conv': conv}
-    if f'done/{c["turn"]}' in rows:
+    key = f'prog/{command["program"]}'
+    program = rows.get(key) or {'budget': command['budget'], 'spent': 0, 'holds': {}}
+    if command['turn'] in program['holds']:
+        return (), {'ok': True, 'history': history, 'conv': conversation}
+    if f'done/{command["turn"]}' in rows:
         raise Fault('refused', 'this turn has ended')
-    held = sum(h for h, _ in prog['holds'].values())
-    caps = [b for b in (prog['budget'], c['budget']) if b is not None]
-    if caps and prog['spent'] + held >= min(caps):
+    reserved = sum(tokens for tokens, _ in program['holds'].values())
+    budgets = [budget for budget in (program['budget'], command['budget']) if budget is not None]
+    if budgets and program['spent'] + reserved >= min(budgets):
         raise Fault(
             'budget',
-            f'{prog["spent"]} spent and {held} held of {min(caps)}',
-            more={'spent': prog['spent'], 'held': held, 'budget': min(caps)},
+            f'{program["spent"]} spent and {reserved} held of {min(budgets)}',
+            more={'spent': program['spent'], 'held': reserved, 'budget': min(budgets)},
         )
-    holds = {**prog['holds'], c['turn']: (c['hold'], now.timestamp() + c.get('span_s', 0) + HOLD_S)}
+    reservations = {
+        **program['holds'],
+        command['turn']: (command['hold'], now.timestamp() + command.get('span_s', 0) + RESERVATION_GRACE_S),
+    }
     return (
         (
             key,
             {
-                **prog,
-                'budget': prog['budget'] if prog['budget'] is not None else c['budget'],
-                'holds': holds,
+                **program,
+                'budget': program['budget'] if program['budget'] is not None else command['budget'],
+                'holds': reservations,
                 'at': now.timestamp(),
             },
         ),
-    ), {'ok': True, 'history': history, 'conv': conv}
+    ), {'ok': True, 'history': history, 'conv': conversation}
 
 
-def end(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
-    """Settle a turn's hold to what was used, and keep the turn if there is one to keep.
+def end(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Replace a turn's reservation by the tokens it used, and retain the turn if the command holds it.
 
-    A turn that ended is settled once: the mark `done/` makes a repeat harmless."""
-    key, mark = f'prog/{c["program"]}', f'done/{c["turn"]}'
-    if mark in rows:
+    The row `done/` makes the command idempotent."""
+    key, done_key = f'prog/{command["program"]}', f'done/{command["turn"]}'
+    if done_key in rows:
         return (), {'ok': True}
-    prog = rows.get(key)
-    changes: tuple = ((mark, now.timestamp()),)
-    if prog is not None:
-        holds = {t: h for t, h in prog['holds'].items() if t != c['turn']}
+    program = rows.get(key)
+    changes: tuple = ((done_key, now.timestamp()),)
+    if program is not None:
+        reservations = {
+            turn: reservation for turn, reservation in program['holds'].items() if turn != command['turn']
+        }
         changes += (
-            (key, {**prog, 'spent': prog['spent'] + c['used'], 'holds': holds, 'at': now.timestamp()}),
+            (
+                key,
+                {
+                    **program,
+                    'spent': program['spent'] + command['used'],
+                    'holds': reservations,
+                    'at': now.timestamp(),
+                },
+            ),
         )
-    keep = c.get('keep')
+    keep = command.get('keep')
     if keep:
-        until = now.timestamp() + c['keeping_s']
-        conv = rows.get(f'conv/{keep["conv"]}') or {'turns': (), 'until': 0}
-        until = max(until, conv['until'])
+        until = now.timestamp() + command['keeping_s']
+        conversation = rows.get(f'conv/{keep["conv"]}') or {'turns': (), 'until': 0}
+        until = max(until, conversation['until'])
         blocks, prompt = deduplication.extract_blocks(keep['prompt'])
-        names = deduplication.block_digests(prompt)
-        for before in conv['turns']:  # the conversation is kept longer: so is what its turns need
-            names += deduplication.block_digests(deduplication.unpack(rows[f'turn/{before}'])['prompt'])
-        changes += deduplication.retain_blocks(rows, blocks, names, until, c['keeping_s'])
+        digests = deduplication.block_digests(prompt)
+        for earlier in conversation['turns']:  # their blocks are retained as long as the conversation
+            digests += deduplication.block_digests(deduplication.unpack(rows[f'turn/{earlier}'])['prompt'])
+        changes += deduplication.retain_blocks(rows, blocks, digests, until, command['keeping_s'])
         changes += (
-            (f'turn/{c["turn"]}', deduplication.pack({**keep, 'prompt': prompt})),
-            (f'conv/{keep["conv"]}', {'turns': tuple(conv['turns']) + (c['turn'],), 'until': until}),
+            (f'turn/{command["turn"]}', deduplication.pack({**keep, 'prompt': prompt})),
+            (
+                f'conv/{keep["conv"]}',
+                {'turns': tuple(conversation['turns']) + (command['turn'],), 'until': until},
+            ),
         )
-    return changes, {'ok': True, 'spent': prog['spent'] + c['used'] if prog else c['used']}
+    return changes, {
+        'ok': True,
+        'spent': program['spent'] + command['used'] if program else command['used'],
+    }
 
 
-def once_begin(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
-    """Mark once-work as begun; of one that was begun before, say what is known.
+def once_begin(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Claim a keyed operation for one attempt; if it has begun before, reply with its recorded state.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> ask = {'op': 'once_begin', 'key': 'k', 'digest': 'd', 'run': 'n1', 'until': 9e9}
-    >>> changes, ret = once_begin(Map(), ask, t); ret['state']
+    >>> claim = {'op': 'once_begin', 'key': 'k', 'digest': 'd', 'run': 'n1', 'until': 9e9}
+    >>> changes, reply = once_begin(Map(), claim, t); reply['state']
     'fresh'
-    >>> once_begin(Map(dict(changes)), {**ask, 'run': 'n2'}, t)[1]['state']
+    >>> once_begin(Map(dict(changes)), {**claim, 'run': 'n2'}, t)[1]['state']
     'begun'
-    >>> given_up = Map(dict(once_end(Map(), {'op': 'once_end', 'key': 'k', 'run': 'n1', 'void': True}, t)[0]))
-    >>> once_begin(given_up, {**ask, 'run': 'n2'}, t)[1]['state']
+    >>> abandoned = Map(dict(once_end(Map(), {'op': 'once_end', 'key': 'k', 'run': 'n1', 'void': True}, t)[0]))
+    >>> once_begin(abandoned, {**claim, 'run': 'n2'}, t)[1]['state']
     'fresh'
-    >>> once_begin(given_up, ask, t)
+    >>> once_begin(abandoned, claim, t)
     Traceback (most recent call last):
     quillstall.runtime.errors.Fault: refused: this try has been given up
     """
-    key = f'once/{c["key"]}'
+    key = f'once/{command["key"]}'
     row = deduplication.unpack(rows.get(key))
-    if c['run'] in given_up(row):
-        raise Fault('refused', 'this try has been given up')  # its claim came late, after that word
-    if row is None or (row['state'] == 'void' and row['digest'] in (None, c['digest'])):
-        fresh = {
+    if command['run'] in abandoned_attempts(row):
+        raise Fault('refused', 'this try has been given up')  # the claim arrived after its void
+    if row is None or (row['state'] == 'void' and row['digest'] in (None, command['digest'])):
+        claimed = {
             'state': 'begun',
-            'digest': c['digest'],
-            'run': c['run'],
+            'digest': command['digest'],
+            'run': command['run'],
             'at': now.timestamp(),
-            'until': c['until'],
-            'given_up': given_up(row),
+            'until': command['until'],
+            'given_up': abandoned_attempts(row),
         }
-        return ((key, deduplication.pack(fresh)),), {'ok': True, 'state': 'fresh'}
-    if row['digest'] != c['digest']:
+        return ((key, deduplication.pack(claimed)),), {'ok': True, 'state': 'fresh'}
+    if row['digest'] != command['digest']:
         raise Fault('key_reused', 'the key came with another body before')
-    if row['state'] == 'begun' and row['run'] == c['run']:
-        return (), {'ok': True, 'state': 'fresh'}  # our own, asked again
+    if row['state'] == 'begun' and row['run'] == command['run']:
+        return (), {'ok': True, 'state': 'fresh'}  # the claim of the same attempt, sent again
     return (), {
         'ok': True,
         'state': row['state'],
@@ -155,212 +180,239 @@
     }
 
 
-def given_up(row: dict | None) -> list[str]:
-    """The runs that will certainly not happen, whatever claim of theirs still comes.
+def abandoned_attempts(row: dict | None) -> list[str]:
+    """Return the attempts that are certain not to run the operation, even if a claim of theirs still arrives.
 
-    >>> given_up({'state': 'void', 'run': 'n2', 'given_up': ['n1']}), given_up(None)
+    >>> abandoned_attempts({'state': 'void', 'run': 'n2', 'given_up': ['n1']}), abandoned_attempts(None)
     (['n1', 'n2'], [])
     """
     if row is None:
         return []
-    runs = list(row.get('given_up') or [])
-    if row['state'] == 'void' and row['run'] not in runs:
-        runs.append(row['run'])
-    return runs[-GIVEN_UP_MOST:]
+    attempts = list(row.get('given_up') or [])
+    if row['state'] == 'void' and row['run'] not in attempts:
+        attempts.append(row['run'])
+    return attempts[-MAX_ABANDONED_ATTEMPTS:]
 
 
-def once_end(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
-    """Keep the return of once-work; or, with `void`, that this run of it certainly never happens."""
-    key = f'once/{c["key"]}'
+def once_end(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Record the reply of a keyed operation or, with `void`, that this attempt is certain not to run it."""
+    key = f'once/{command["key"]}'
     row = deduplication.unpack(rows.get(key))
-    if row is None and c.get('void'):
+    if row is None and command.get('void'):
         row = {
             'state': 'begun',
             'digest': None,
-            'run': c['run'],
+            'run': command['run'],
             'at': now.timestamp(),
-            'until': now.timestamp() + HOLD_S,
+            'until': now.timestamp() + RESERVATION_GRACE_S,
         }
     if row is None or row['state'] == 'done':
         return (), {'ok': True}
-    if row['run'] != c['run']:
-        return (give_up(key, row, c['run']) if c.get('void') else ()), {'ok': True}
+    if row['run'] != command['run']:
+        return (abandon(key, row, command['run']) if command.get('void') else ()), {'ok': True}
     if row['state'] != 'begun':
         return (), {'ok': True}
-    state = 'void' if c.get('void') else 'done'
-    return ((key, deduplication.pack({**row, 'state': state, 'ret': c.get('ret')})),), {'ok': True}
+    state = 'void' if command.get('void') else 'done'
+    return ((key, deduplication.pack({**row, 'state': state, 'ret': command.get('ret')})),), {'ok': True}
 
 
-def give_up(key: str, row: dict, run: str) -> tuple:
-    """The change that remembers in another run's row that this run will not happen."""
-    runs = given_up(row)
-    if run in runs:
+def abandon(key: str, row: dict, attempt: str) -> tuple:
+    """Return the change that adds an abandoned attempt to the row of an operation that another one claimed."""
+    attempts = abandoned_attempts(row)
+    if attempt in attempts:
         return ()
-    return ((key, deduplication.pack({**row, 'given_up': [*runs, run][-GIVEN_UP_MOST:]})),)
+    return ((key, deduplication.pack({**row, 'given_up': [*attempts, attempt][-MAX_ABANDONED_ATTEMPTS:]})),)
 
 
-def turn_begin(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
-    """Hold tokens of a program for a turn that has its caller's own id, and give what was said before it,
-    unless whoever asks has that already (`has`).
+def turn_begin(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Reserve tokens of a program for a turn with an id of its caller; reply with the history before it.
+
+    The history is left out if the sender has it already (`has`).
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> ask = {'op': 'turn_begin', 'program': 'p', 'turn': 'a', 'budget': 10, 'hold': 8, 'previous': None}
-    >>> rows = Map(dict(turn_begin(Map(), ask, t)[0]))
-    >>> done = {'op': 'turn_end', 'program': 'p', 'turn': 'a', 'used': 6, 'keeping_s': 60,
-    ...         'keep': {'previous': None, 'data': b'hi'}}
-    >>> rows = rows.update(dict(turn_end(rows, done, t)[0])); rows['prog/p']['spent']
+    >>> begin = {'op': 'turn_begin', 'program': 'p', 'turn': 'a', 'budget': 10, 'hold': 8, 'previous': None}
+    >>> rows = Map(dict(turn_begin(Map(), begin, t)[0]))
+    >>> end = {'op': 'turn_end', 'program': 'p', 'turn': 'a', 'used': 6, 'keeping_s': 60,
+    ...        'keep': {'previous': None, 'data': b'hi'}}
+    >>> rows = rows.update(dict(turn_end(rows, end, t)[0])); rows['prog/p']['spent']
     6
-    >>> turn_begin(rows, {**ask, 'turn': 'b', 'previous': 'a'}, t)[1]['chain']
+    >>> turn_begin(rows, {**begin, 'turn': 'b', 'previous': 'a'}, t)[1]['chain']
     [b'hi']
-    >>> turn_begin(rows, {**ask, 'turn': 'b', 'previous': 'x'}, t)
+    >>> turn_begin(rows, {**begin, 'turn': 'b', 'previous': 'x'}, t)
     Traceback (most recent call last):
     quillstall.runtime.errors.Fault: turn_unknown: x
     """
-    chain: list = []
-    if c.get('previous') and not c.get('has'):
-        chain = chain_of(rows, c['previous'])
-    key = f'prog/{c["program"]}'
-    prog = rows.get(key) or {'budget': c['budget'], 'spent': 0, 'holds': {}}
-    if c['turn'] in prog['holds']:
-        return (), {'ok': True, 'chain': chain}
-    if f'done/{c["turn"]}' in rows:
+    history: list = []
+    if command.get('previous') and not command.get('has'):
+        history = turn_history(rows, command['previous'])
+    key = f'prog/{command["program"]}'
+    program = rows.get(key) or {'budget': command['budget'], 'spent': 0, 'holds': {}}
+    if command['turn'] in program['holds']:
+        return (), {'ok': True, 'chain': history}
+    if f'done/{command["turn"]}' in rows:
         raise Fault('refused', 'this turn has ended')
-    held = sum(h for h, _ in prog['holds'].values())
-    caps = [b for b in (prog['budget'], c['budget']) if b is not None]
-    if caps and prog['spent'] + held >= min(caps):
+    reserved = sum(tokens for tokens, _ in program['holds'].values())
+    budgets = [budget for budget in (program['budget'], command['budget']) if budget is not None]
+    if budgets and program['spent'] + reserved >= min(budgets):
         raise Fault(
             'budget',
-            f'{prog["spent"]} spent and {held} held of {min(caps)}',
-            more={'spent': prog['spent'], 'held': held, 'budget': min(caps)},
+            f'{program["spent"]} spent and {reserved} held of {min(budgets)}',
+            more={'spent': program['spent'], 'held': reserved, 'budget': min(budgets)},
         )
-    holds = {**prog['holds'], c['turn']: (c['hold'], now.timestamp() + c.get('span_s', 0) + HOLD_S)}
+    reservations = {
+        **program['holds'],
+        command['turn']: (command['hold'], now.timestamp() + command.get('span_s', 0) + RESERVATION_GRACE_S),
+    }
     return (
         (
             key,
             {
-                **prog,
-                'budget': prog['budget'] if prog['budget'] is not None else c['budget'],
-                'holds': holds,
+                **program,
+                'budget': program['budget'] if program['budget'] is not None else command['budget'],
+                'holds': reservations,
                 'at': now.timestamp(),
             },
         ),
-    ), {'ok': True, 'chain': chain}
+    ), {'ok': True, 'chain': history}
 
 
-def chain_of(rows: Map, turn: str) -> list:
-    """What was said, from the oldest turn to this one; Fault 'turn_unknown' if it is not kept here.
+def turn_history(rows: Map, turn: str) -> list:
+    """Return the data of the turns from the oldest to this one. Fault 'turn_unknown': one is not retained.
 
-    >>> chain_of(Map({'kept/a': [None, 9e9, b'x'], 'kept/b': ['a', 9e9, b'y']}), 'b')
+    >>> turn_history(Map({'kept/a': [None, 9e9, b'x'], 'kept/b': ['a', 9e9, b'y']}), 'b')
     [b'x', b'y']
     """
-    out, at = [], turn
-    while at is not None:
-        row = rows.get(f'kept/{at}')
+    history, current = [], turn
+    while current is not None:
+        row = rows.get(f'kept/{current}')
         if row is None:
             raise Fault('turn_unknown', turn)
-        out.append(row[2])
-        at = row[0]
-    out.reverse()
-    return out
+        history.append(row[2])
+        current = row[0]
+    history.reverse()
+    return history
 
 
-def turn_find(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
-    """What was said up to a turn, whichever program it was of: `{'op': 'turn_find', 'previous': 'a'}`."""
-    return (), {'ok': True, 'chain': chain_of(rows, c['previous'])}
+def turn_find(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Reply with the history up to a turn of any program: `{'op': 'turn_find', 'previous': 'a'}`."""
+    return (), {'ok': True, 'chain': turn_history(rows, command['previous'])}
 
 
-def turn_end(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
-    """Settle a turn's hold to what was put out, and keep the turn if it is to be kept; see `turn_begin`."""
-    key, mark = f'prog/{c["program"]}', f'done/{c["turn"]}'
-    if mark in rows:
+def turn_end(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Replace a turn's reservation by the tokens generated, and retain the turn if asked; see `turn_begin`."""
+    key, done_key = f'prog/{command["program"]}', f'done/{command["turn"]}'
+    if done_key in rows:
         return (), {'ok': True}
-    changes: tuple = ((mark, now.timestamp()),)
-    prog = rows.get(key)
-    if prog is None and c['used']:
-        prog = {'budget': None, 'spent': 0, 'holds': {}}
-    if prog is not None:
-        holds = {t: h for t, h in prog['holds'].items() if t != c['turn']}
+    changes: tuple = ((done_key, now.timestamp()),)
+    program = rows.get(key)
+    if program is None and command['used']:
+        program = {'budget': None, 'spent': 0, 'holds': {}}
+    if program is not None:
+        reservations = {
+            turn: reservation for turn, reservation in program['holds'].items() if turn != command['turn']
+        }
         changes += (
-            (key, {**prog, 'spent': prog['spent'] + c['used'], 'holds': holds, 'at': now.timestamp()}),
+            (
+                key,
+                {
+                    **program,
+                    'spent': program['spent'] + command['used'],
+                    'holds': reservations,
+                    'at': now.timestamp(),
+                },
+            ),
         )
-    keep = c.get('keep')
+    keep = command.get('keep')
     if keep:
         changes += (
-            (f'kept/{c["turn"]}', (keep['previous'], now.timestamp() + c['keeping_s'], keep['data'])),
+            (
+                f'kept/{command["turn"]}',
+                (keep['previous'], now.timestamp() + command['keeping_s'], keep['data']),
+            ),
         )
     return changes, {'ok': True}
 
 
-def expired(rows: Map, past: float) -> tuple:
-    """The kept turns that neither are within their time nor lead to one that is.
+def expired_turns(rows: Map, cutoff: float) -> tuple:
+    """Return the keys of the retained turns that have expired and that no unexpired turn continues.
 
     >>> rows = Map({'kept/a': [None, 5, b''], 'kept/b': ['a', 9, b''], 'kept/c': [None, 6, b'']})
-    >>> expired(rows, 7)
+    >>> expired_turns(rows, 7)
     ('kept/c',)
     """
-    kept = {k[5:]: row for k, row in rows.items() if k.startswith('kept/')}
-    if all(row[1] >= past for row in kept.values()):
+    retained = {k[5:]: row for k, row in rows.items() if k.startswith('kept/')}
+    if all(row[1] >= cutoff for row in retained.values()):
         return ()
-    live: set = set()
-    for turn, row in kept.items():
-        while row is not None and row[1] >= past and turn not in live:
-            live.add(turn)
+    needed: set = set()
+    for turn, row in retained.items():
+        while row is not None and row[1] >= cutoff and turn not in needed:
+            needed.add(turn)
             turn = row[0]
-            row = kept.get(turn)
-            if row is not None and row[1] < past:
-                row = (row[0], past, b'')  # older, but what follows it is still kept
-    return tuple(f'kept/{t}' for t in sorted(kept) if t not in live)
+            row = retained.get(turn)
+            if row is not None and row[1] < cutoff:
+                row = (row[0], cutoff, b'')  # expired, but a turn that continues it is not
+    return tuple(f'kept/{turn}' for turn in sorted(retained) if turn not in needed)
 
 
-def sweep(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
-    """Take out what is past its keeping time by more than clocks may differ, and charge in full the holds
-    whose outcome never came. Each sweep looks at some rows, from where the last one stopped.
+def sweep(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Delete the rows that expired longer ago than clocks may differ, and charge overdue reservations in full.
+
+    A reservation is overdue if its outcome never came. A sweep examines a limited number of rows and replies with
+    the position from which the next one continues.
 
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
-    >>> old = Map({'once/a': deduplication.pack({'until': t.timestamp() - SKEW_S - 1}), 'once/b': deduplication.pack(
-    ...     {'until': t.timestamp() - SKEW_S + 1}), 'block/c': ['text', t.timestamp() - SKEW_S - 1]})
-    >>> changes, ret = sweep(old, {'program_s': 60, 'from': 0}, t); sorted(changes), ret['at']
+    >>> rows = Map({'once/a': deduplication.pack({'until': t.timestamp() - SKEW_S - 1}),
+    ...     'once/b': deduplication.pack({'until': t.timestamp() - SKEW_S + 1}),
+    ...     'block/c': ['text', t.timestamp() - SKEW_S - 1]})
+    >>> changes, reply = sweep(rows, {'program_s': 60, 'from': 0}, t); sorted(changes), reply['at']
     ([('block/c', None), ('once/a', None)], 0)
     """
-    at = now.timestamp()
-    past = at - SKEW_S
-    start, changes = c['from'], ()
+    timestamp = now.timestamp()
+    cutoff = timestamp - SKEW_S
+    start, changes = command['from'], ()
     if start == 0:
-        changes = tuple((key, None) for key in expired(rows, at - KEPT_SKEW_S)[:SWEEP_MOST])
-    seen = 0
+        changes = tuple(
+            (key, None) for key in expired_turns(rows, timestamp - RETAINED_TURN_SKEW_S)[:MAX_SWEEP_CHANGES]
+        )
+    examined = 0
     for key, row in islice(rows.items(), start, start + SWEEP_ROWS):
-        if len(changes) > SWEEP_MOST:
+        if len(changes) > MAX_SWEEP_CHANGES:
             break
-        seen += 1
+        examined += 1
         kind = key.partition('/')[0]
-        if kind == 'once' and deduplication.unpack(row)['until'] < past:
+        if kind == 'once' and deduplication.unpack(row)['until'] < cutoff:
             changes += ((key, None),)
-        elif kind == 'block' and row[1] < past:
+        elif kind == 'block' and row[1] < cutoff:
             changes += ((key, None),)
-        elif kind == 'conv' and row['until'] < past:
-            changes += ((key, None),) + tuple((f'turn/{t}', None) for t in row['turns'])
-        elif kind == 'done' and row < past - 3600:
+        elif kind == 'conv' and row['until'] < cutoff:
+            changes += ((key, None),) + tuple((f'turn/{turn}', None) for turn in row['turns'])
+        elif kind == 'done' and row < cutoff - 3600:
             changes += ((key, None),)
         elif kind == 'prog':
-            old = {t: h for t, h in row['holds'].items() if h[1] < past}
-            if old:
-                holds = {t: h for t, h in row['holds'].items() if t not in old}
-                spent = row['spent'] + sum(h for h, _ in old.values())
-                changes += ((key, {**row, 'holds': holds, 'spent': spent}),)
-                changes += tuple((f'done/{t}', at) for t in old)
-            elif row['at'] < past - c['program_s']:
+            overdue = {
+                turn: reservation for turn, reservation in row['holds'].items() if reservation[1] < cutoff
+            }
+            if overdue:
+                reservations = {
+                    turn: reservation for turn, reservation in row['holds'].items() if turn not in overdue
+                }
+                spent = row['spent'] + sum(tokens for tokens, _ in overdue.values())
+                changes += ((key, {**row, 'holds': reservations, 'spent': spent}),)
+                changes += tuple((f'done/{turn}', timestamp) for turn in overdue)
+            elif row['at'] < cutoff - command['program_s']:
                 changes += ((key, None),)
-    done = start + seen - sum(1 for _, value in changes if value is None)
+    next_start = start + examined - sum(1 for _, value in changes if value is None)
     return changes, {
         'ok': True,
         'swept': len(changes),
-        'at': 0 if start + seen >= len(rows) else max(0, done),
+        'at': 0 if start + examined >= len(rows) else max(0, next_start),
     }
 
 
-def confirm(rows: Map, c: dict, now: datetime) -> tuple[tuple, dict]:
+def confirm(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+    """Change nothing; the reply only shows that the command was committed."""
     return (), {'ok': True}
 
 
