--- a/src/quillstall/controlplane/core_table.py
+++ b/src/quillstall/controlplane/core_table.py
@@ -278,10 +278,10 @@
     )
 
 
-def partition_count(rows: Map, member: str) -> int:
+def partitions_on_store(rows: Map, member: str) -> int:
     """Return how many partitions have a copy on a store.
 
-    >>> partition_count(Map({'part/p00': (1, 0, 'a', 'b')}), 'a')
+    >>> partitions_on_store(Map({'part/p00': (1, 0, 'a', 'b')}), 'a')
     1
     """
     return sum(1 for _, row in rows_with_prefix(rows, 'part/') if member in row[2:])
--- a/src/quillstall/controlplane/status.py
+++ b/src/quillstall/controlplane/status.py
@@ -72,7 +72,7 @@
     members = {
         n: {
             **row,
-            'parts': core_table.partition_count(rows, n),
+            'parts': core_table.partitions_on_store(rows, n),
             'off': bool(row.get('emptied')),
         }
         for n, row in core_table.rows_with_prefix(rows, 'member/')
