--- a/features/steps/keyed_model.py
+++ b/features/steps/keyed_model.py
@@ -1,7 +1,7 @@
-"""A model of keyed operations: tries at routing nodes, their commands on the way, and the store's table.
+"""A model of keyed operations: attempts at routing nodes, their commands in flight, and the store table.
 
-Every order of events of a few tries with one key is played: commands are delivered late, twice, or after
-their sender gave up; returns are lost; tries are refused after they began, or run.
+It explores every order of events of a few attempts with one key: commands are delivered late, twice, or after their
+sender gave up; replies are lost; attempts are refused after they began, or run.
 """
 
 from collections import deque
@@ -14,30 +14,30 @@
 from quillstall.runtime.errors import Fault
 
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
-SENDS = 2  # how often a try sends its claim
-IDLE, WAITING, HOLDING, GAVE_UP, TOLD, RAN = 'idle', 'waiting', 'holding', 'gave up', 'told', 'ran'
+MAX_SENDS = 2  # of the claim of one attempt
+IDLE, WAITING, CLAIMED, GAVE_UP, DENIED, RAN = 'idle', 'waiting', 'claimed', 'gave up', 'denied', 'ran'
 
 
-class Try(NamedTuple):
-    """One try: where it stands, and which of its commands are still on the way."""
+class Attempt(NamedTuple):
+    """One attempt: its phase, the sends of its claim that are left, and which of its commands are in flight."""
 
-    stands: str = IDLE
-    sends: int = SENDS
-    claim: bool = False
-    void: bool = False
-    answer: bool = False
+    phase: str = IDLE
+    sends_left: int = MAX_SENDS
+    claim_in_flight: bool = False
+    void_in_flight: bool = False
+    answer_in_flight: bool = False
 
 
 class State(NamedTuple):
-    """All tries, the store's rows as they lie on its disks, and how often the operation ran."""
+    """All attempts, the rows that the store has written, and how often the operation ran."""
 
-    tries: tuple
+    attempts: tuple
     rows: tuple = ()
     runs: int = 0
 
 
 class Counterexample(AssertionError):
-    """A sequence of steps after which a promise does not hold."""
+    """A sequence of steps after which an invariant is violated."""
 
 
 def claim_of(run):
@@ -53,86 +53,100 @@
 
 
 def deliver(rows, command):
-    """The rows after a command, and what the store returns: its word of the key, or the fault's code."""
+    """Return the rows after a command, and the store's reply: the state of the key, or the code of the fault."""
     table = Map(dict(rows))
     try:
-        changes, ret = store_table.apply(table, command, NOW)
+        changes, reply = store_table.apply(table, command, NOW)
     except Fault as e:
         return rows, e.code
     for key, value in changes:
         table = table.delete(key) if value is None else table.set(key, value)
-    return tuple(sorted(table.items())), ret.get('state', 'ok')
+    return tuple(sorted(table.items())), reply.get('state', 'ok')
 
 
 def steps(state):
-    """Every step that may follow: its name and the state after it."""
-    for n, one in enumerate(state.tries):
+    """Yield every possible next step: its name and the state after it."""
+    for n, attempt in enumerate(state.attempts):
         run = f'n{n}'
 
         def after(changed, n=n, rows=state.rows, runs=state.runs):
-            tries = state.tries[:n] + (changed,) + state.tries[n + 1 :]
-            return State(tries, rows, runs)
+            attempts = state.attempts[:n] + (changed,) + state.attempts[n + 1 :]
+            return State(attempts, rows, runs)
 
-        if one.stands in (IDLE, WAITING) and one.sends:
+        if attempt.phase in (IDLE, WAITING) and attempt.sends_left:
             yield (
                 f'{run} sends its claim',
-                after(one._replace(stands=WAITING, sends=one.sends - 1, claim=True)),
+                after(
+                    attempt._replace(phase=WAITING, sends_left=attempt.sends_left - 1, claim_in_flight=True)
+                ),
             )
-        if one.stands == WAITING:
-            yield f'{run} gives up', after(one._replace(stands=GAVE_UP, void=True))
-        if one.stands == HOLDING:
-            yield f'{run} is refused', after(one._replace(stands=GAVE_UP, void=True))
-            yield f'{run} runs', after(one._replace(stands=RAN, answer=True), runs=state.runs + 1)
-        if one.claim:
-            rows, said = deliver(state.rows, claim_of(run))
-            for copy in (False, True):
-                left = one._replace(claim=copy)
-                yield f'the claim of {run} comes, return lost, copy left: {copy}', after(left, rows=rows)
-                if one.stands == WAITING:
-                    heard = (
-                        left._replace(stands=HOLDING)
-                        if said == 'fresh'
-                        else left._replace(stands=TOLD, void=said == 'begun')
+        if attempt.phase == WAITING:
+            yield f'{run} gives up', after(attempt._replace(phase=GAVE_UP, void_in_flight=True))
+        if attempt.phase == CLAIMED:
+            yield f'{run} is refused', after(attempt._replace(phase=GAVE_UP, void_in_flight=True))
+            yield (
+                f'{run} runs',
+                after(attempt._replace(phase=RAN, answer_in_flight=True), runs=state.runs + 1),
+            )
+        if attempt.claim_in_flight:
+            rows, reply = deliver(state.rows, claim_of(run))
+            for duplicated in (False, True):
+                delivered = attempt._replace(claim_in_flight=duplicated)
+                yield (
+                    f'the claim of {run} arrives, reply lost, a copy in flight: {duplicated}',
+                    after(delivered, rows=rows),
+                )
+                if attempt.phase == WAITING:
+                    replied = (
+                        delivered._replace(phase=CLAIMED)
+                        if reply == 'fresh'
+                        else delivered._replace(phase=DENIED, void_in_flight=reply == 'begun')
+                    )
+                    yield (
+                        f'the claim of {run} arrives: {reply}, a copy in flight: {duplicated}',
+                        after(replied, rows=rows),
                     )
-                    yield f'the claim of {run} comes: {said}, copy left: {copy}', after(heard, rows=rows)
-        if one.void:
+        if attempt.void_in_flight:
             rows, _ = deliver(state.rows, void_of(run))
-            yield f'the void of {run} comes', after(one._replace(void=False), rows=rows)
-        if one.answer:
+            yield f'the void of {run} arrives', after(attempt._replace(void_in_flight=False), rows=rows)
+        if attempt.answer_in_flight:
             rows, _ = deliver(state.rows, answer_of(run))
-            yield f'the answer of {run} comes', after(one._replace(answer=False), rows=rows)
+            yield f'the answer of {run} arrives', after(attempt._replace(answer_in_flight=False), rows=rows)
 
 
-def broken(state):
-    """The promise that does not hold in a state, or None."""
+def violated_invariant(state):
+    """Return the invariant that a state violates, or None."""
     if state.runs > 1:
         return 'the operation ran twice'
-    if any(t.stands in (WAITING, HOLDING) or t.claim or t.void or t.answer for t in state.tries):
+    if any(
+        a.phase in (WAITING, CLAIMED) or a.claim_in_flight or a.void_in_flight or a.answer_in_flight
+        for a in state.attempts
+    ):
         return None
-    said = deliver(state.rows, claim_of('later'))[1]
-    if state.runs == 0 and said != 'fresh':
-        return f'nothing ran and nothing will, and a later try hears {said!r}'
-    if state.runs == 1 and said != 'done':
-        return f'it ran and was kept, and a later try hears {said!r}'
+    reply = deliver(state.rows, claim_of('later'))[1]
+    if state.runs == 0 and reply != 'fresh':
+        return f'it did not run and will not, but a later attempt is told {reply!r}'
+    if state.runs == 1 and reply != 'done':
+        return f'it ran and its answer was recorded, but a later attempt is told {reply!r}'
     return None
 
 
-def explore(tries):
-    """Play every order of events; the count of states. Counterexample: the shortest that breaks a promise."""
-    first = State((Try(),) * tries)
-    came: dict = {first: None}
+def explore(attempts):
+    """Explore every order of events; return the number of states. Counterexample: the shortest violation."""
+    first = State((Attempt(),) * attempts)
+    predecessors: dict = {first: None}
     queue = deque([first])
     while queue:
         state = queue.popleft()
-        why = broken(state)
-        if why:
+        violation = violated_invariant(state)
+        if violation:
             path = []
-            while came[state]:
-                name, state = came[state]
+            while predecessors[state]:
+                name, state = predecessors[state]
                 path.append(name)
-            raise Counterexample(f'{why}, after: ' + '; '.join(reversed(path)))
-        for name, nxt in steps(state):
-            if nxt not in came:
-                came[nxt] = (name, state)
-                queue.append(nxt)
-    return len(came)
+            raise Counterexample(f'{violation}, after: ' + '; '.join(reversed(path)))
+        for name, following in steps(state):
+            if following not in predecessors:
+                predecessors[following] = (name, state)
+                queue.append(following)
+    return len(predecessors)
