--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -393,7 +393,7 @@
 def many_changes(context, count):
     async def script(admin_api):
         deployment = admin_api.town
-        context.statuses = []
+        context.retry_statuses = []
         assert (await admin_api.put(FIRST, 0)).status == 200
         bodies = [{'revision': 6 + n, 'marker': n} for n in range(count)]
         for body in bodies:
@@ -402,8 +402,8 @@
 
         async def send_again():
             for index in CORES:
-                context.statuses.append((await admin_api.put(FIRST, 0, index)).status)
-                context.statuses.append(
+                context.retry_statuses.append((await admin_api.put(FIRST, 0, index)).status)
+                context.retry_statuses.append(
                     (await admin_api.patch(bodies[9], bodies[9]['revision'] - 1, index)).status
                 )
             context.shown = (await admin_api.show()).get('marker')
@@ -430,7 +430,7 @@
 
 @then('the first and the tenth sent again are acknowledged at every core after each of these')
 def acknowledged_everywhere(context):
-    assert context.statuses == [200] * 18, context.statuses
+    assert context.retry_statuses == [200] * 18, context.retry_statuses
 
 
 @then('the last configuration stays in force')
@@ -552,14 +552,14 @@
         client.attempts.clear()
         start = client.seconds()
         status = await client.change(current, 7, 700)
-        context.slow_change = (status, client.seconds() - start, list(client.attempts))
+        context.slow_result = (status, client.seconds() - start, list(client.attempts))
 
     context.play(script)
 
 
 @then('it was acknowledged within {max_total:g} seconds, with no attempt longer than {limit:g} seconds')
 def acknowledged_in_time(context, max_total, limit):
-    status, seconds, attempts = context.slow_change
+    status, seconds, attempts = context.slow_result
     assert status == 200 and seconds <= max_total, (status, seconds, attempts)
     assert len(attempts) > 1, 'it did not take long'
     assert all(a.seconds <= limit for a in attempts), attempts
@@ -694,7 +694,7 @@
         assert (await admin_api.put(marked(8, 800), 6)).status == 200
         assert (await admin_api.patch({'revision': 9, 'marker': 900}, 8)).status == 200
         never_sent = {**body, 'marker': 601}
-        context.statuses = [
+        context.patch_statuses = [
             (await admin_api.patch(b, 5, index)).status for b in (body, never_sent) for index in CORES
         ]
         lost.cancel()
@@ -704,7 +704,7 @@
 
 @then('it is acknowledged, and a patch that was never applied is refused')
 def applied_patch_acknowledged(context):
-    assert context.statuses == [200] * 3 + [412] * 3, context.statuses
+    assert context.patch_statuses == [200] * 3 + [412] * 3, context.patch_statuses
 
 
 # ---- reads concurrent with uncommitted changes
--- a/src/quillstall/controlplane/core_table.py
+++ b/src/quillstall/controlplane/core_table.py
@@ -207,7 +207,7 @@
     return (((key, updated), ('place', rows.get('place', 0) + 1)) + replaced_rows, {'ok': True})
 
 
-def create_partitions(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+def place_partitions(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
     """Create all partitions and place their copies on stores, unless there are partitions already."""
     if rows_with_prefix(rows, 'part/'):
         return (), {'ok': True}
@@ -287,7 +287,7 @@
     return sum(1 for _, row in rows_with_prefix(rows, 'part/') if member in row[2:])
 
 
-def complete_retirement(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+def record_retirement(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
     """Record that a retiring store is no longer needed.
 
     That holds once every partition has all its copies on other live members, and the register is settled
@@ -297,8 +297,8 @@
     >>> rows = Map({'member/a': row('retiring'), 'member/b': row(), 'member/c': row(),
     ...             'part/p00': (2, 1, 'b')})
     >>> command = {'op': 'emptied', 'name': 'a', 'live': ['b', 'c'], 'copies': 2}
-    >>> (complete_retirement(rows, command, None)[0],
-    ...  dict(complete_retirement(rows.set('part/p00', (3, 2, 'b', 'c')), command, None)[0]))
+    >>> (record_retirement(rows, command, None)[0],
+    ...  dict(record_retirement(rows.set('part/p00', (3, 2, 'b', 'c')), command, None)[0]))
     ((), {'member/a': {'role': 'store', 'address': 'x', 'zone': 'z', 'state': 'retiring', 'emptied': True}})
     """
     key = f'member/{command["name"]}'
@@ -346,13 +346,13 @@
     return removals + ((key, now.isoformat()), ('place', rows.get('place', 0) + 1)), {'ok': True}
 
 
-def update_register(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
+def replace_register(rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
     """Replace the register of stores, if its number is still the one that the command builds on.
 
     >>> command = {'op': 'enrol', 'base': 0, 'now': {'a': '1:1'}, 'old': {}}
-    >>> changes, _ = update_register(Map(), command, None); dict(changes)['register']['number']
+    >>> changes, _ = replace_register(Map(), command, None); dict(changes)['register']['number']
     1
-    >>> update_register(Map(dict(changes)), command, None)[0]
+    >>> replace_register(Map(dict(changes)), command, None)[0]
     ()
     """
     if (rows.get('register') or {'number': 0})['number'] != command['base']:
@@ -367,10 +367,10 @@
     'apply': put_policy,
     'leaving': set_replicas_leaving,
     'join': add_store,
-    'found': create_partitions,
+    'found': place_partitions,
     'seat': grant_replica_set,
     'retire': retire,
-    'emptied': complete_retirement,
-    'enrol': update_register,
+    'emptied': record_retirement,
+    'enrol': replace_register,
     'know': remember_node_address,
 }
