--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -13,7 +13,7 @@
 from gateway_keyed import keyed_request, runs_of_key
 from standin import PARTITIONS, sse_event, wait_until
 
-from quillstall.controlplane import shelf, weight
+from quillstall.controlplane import deduplication, store_table
 from quillstall.dataplane.node import Node
 from quillstall.network import httpclient
 from quillstall.replication.rendezvous import partition_of
@@ -169,10 +169,10 @@
     partition = partition_of(record_key, len(PARTITIONS))
 
     def row():
-        return weight.unpack(cluster.stores.rows[partition][f'once/{record_key}'])
+        return deduplication.unpack(cluster.stores.rows[partition][f'once/{record_key}'])
 
-    cluster.run(wait_until(lambda: len(shelf.given_up(row())) == 2))
-    assert row()['state'] == 'begun' and row()['run'] not in shelf.given_up(row()), row()
+    cluster.run(wait_until(lambda: len(store_table.abandoned_attempts(row())) == 2))
+    assert row()['state'] == 'begun' and row()['run'] not in store_table.abandoned_attempts(row()), row()
 
 
 CAUSES = {
--- a/features/steps/standin.py
+++ b/features/steps/standin.py
@@ -17,7 +17,7 @@
 from tornado.tcpserver import TCPServer
 
 from quillstall.configuration.policy import check
-from quillstall.controlplane import shelf
+from quillstall.controlplane import store_table
 from quillstall.dataplane.admission.messages import News
 from quillstall.dataplane.node import Node
 from quillstall.network.listing import Listing, digest
@@ -67,7 +67,9 @@
         partition, command = message['part'], cbor2.loads(cbor2.dumps(message['command']))
         if address != self.addresses[self.replica_sets[partition][2]]:
             raise Fault('moved', partition, more={'seat': self.replica_sets[partition]})
-        changes, reply = shelf.apply(self.rows[partition], command, self.clock.now() + self.clock_offset)
+        changes, reply = store_table.apply(
+            self.rows[partition], command, self.clock.now() + self.clock_offset
+        )
         for key, value in changes:
             self.rows[partition] = (
                 self.rows[partition].delete(key) if value is None else self.rows[partition].set(key, value)
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -6,7 +6,7 @@
 
 from immutables import Map
 
-from quillstall.controlplane import shelf
+from quillstall.controlplane import store_table
 from quillstall.network.packing import with_policy
 from quillstall.replication import group, register, watch
 from quillstall.replication.group import Grant, Op, ReplicaSet, StartReconfiguration
@@ -131,7 +131,7 @@
     The times in the rows are compared with those of other stores and outlast a restart, so they are wall times."""
 
     def apply_command(partition: str, rows: Map, command: dict, now: datetime) -> tuple[tuple, dict]:
-        return shelf.apply(rows, command, now + wall_ahead)
+        return store_table.apply(rows, command, now + wall_ahead)
 
     return apply_command
 
