--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -609,7 +609,7 @@
         program = request.program or (previous.program if previous else f'g-{self.next_id()}')
         if previous and previous.program != program:
             raise Fault('invalid', '1 finding', (('continues', 'is a turn of another program'),))
-        retention_s = policy.get('keeping_s', DEFAULT_TURN_RETENTION_S)
+        turn_retention_s = policy.get('keeping_s', DEFAULT_TURN_RETENTION_S)
         prompt_tokens = request.prompt_tokens + (previous.tokens if previous else 0)
         task_id = self.next_id()
         task = Task(
@@ -653,7 +653,7 @@
         headers_sent = tokens_reserved = may_have_run = False
         try:
             history, conversation = await self.begin_turn(
-                request, program, turn_id, max_tokens, task, replica, retention_s
+                request, program, turn_id, max_tokens, task, replica, turn_retention_s
             )
             tokens_reserved = True
             started_at = clock.now()
@@ -721,7 +721,7 @@
                     'turn': turn_id,
                     'used': used_tokens,
                     'keep': record,
-                    'keeping_s': retention_s,
+                    'keeping_s': turn_retention_s,
                 },
                 max(deadline, clock.now() + STORE_TIMEOUT),
                 'not_kept',
@@ -807,7 +807,7 @@
         max_tokens: int,
         task: Task,
         replica: str,
-        retention_s: int,
+        turn_retention_s: int,
     ) -> tuple[list, str]:
         """Reserve the turn's tokens, durably on two stores; return its history and its conversation.
 
@@ -831,8 +831,8 @@
         except Fault as e:
             if e.code == 'turn_unknown':
                 issued_at = turn_ids.decode(request.continues).issued_at
-                if clock.wall() - issued_at > timedelta(seconds=retention_s):
-                    raise Fault('turn_expired', f'turns are retained for {retention_s} s') from e
+                if clock.wall() - issued_at > timedelta(seconds=turn_retention_s):
+                    raise Fault('turn_expired', f'turns are retained for {turn_retention_s} s') from e
             if e.code == 'store_away':  # the tokens may be reserved: release them, the turn is not sent
                 self.spawn(
                     self.call_store_in_background(
