--- a/features/steps/signals.py
+++ b/features/steps/signals.py
@@ -1,4 +1,4 @@
-"""Steps about signals and stops at awkward moments."""
+"""Steps about signals during a start, and about stops while a request is in flight."""
 
 import asyncio
 import json
@@ -14,122 +14,130 @@
 from behave import given, then, when
 from common import lone_core_settings
 
-from quillstall.controlplane.desk import Desk
+from quillstall.controlplane.admin_api import AdminApi
 from quillstall.runtime.errors import Fault
 from quillstall.runtime.process import Ctx
 
 START_LIMIT_S = 30.0
-PAUSE_S = 0.01
-MEMBER = 'member'  # the testbed's command that runs a process of a fleet
+POLL_INTERVAL_S = 0.01
+TESTBED_SERVE_COMMAND = 'member'  # the testbed's command that runs a process of a fleet
 
 
 def ignores_hangup(pid):
-    """Whether a process ignores SIGHUP now; None if it has ended."""
+    """Return whether a process ignores SIGHUP now; None if it has ended."""
     try:
         with open(f'/proc/{pid}/status', encoding='utf-8') as file:
-            rows = dict(line.split(':', 1) for line in file)
+            fields = dict(line.split(':', 1) for line in file)
     except OSError:
         return None
-    return bool(int(rows['SigIgn'], 16) >> (signal.SIGHUP - 1) & 1) if 'SigIgn' in rows else None
+    return bool(int(fields['SigIgn'], 16) >> (signal.SIGHUP - 1) & 1) if 'SigIgn' in fields else None
 
 
-@when('"{module}" is loaded as far as its first call')
-def load_first(context, module):
+@when('the entry point of "{module}" is imported')
+def import_entry_point(context, module):
     context.module = module
     code = f'import sys, {module}.__main__; print(" ".join(sys.modules))'
     run = subprocess.run([sys.executable, '-c', code], capture_output=True, text=True, check=True)
-    context.loaded = {name.partition('.')[0] for name in run.stdout.split()}
+    context.imported = {name.partition('.')[0] for name in run.stdout.split()}
 
 
-@then('it has loaded none of "{names}"')
-def none_loaded(context, names):
-    assert 'quillstall' in context.loaded
-    assert not context.loaded & set(names.split(',')), context.loaded & set(names.split(','))
+@then('it has imported none of "{names}"')
+def none_imported(context, names):
+    assert 'quillstall' in context.imported
+    assert not context.imported & set(names.split(',')), context.imported & set(names.split(','))
 
 
-def core_settings(folder, more):
-    """A file with the settings of a core that serves alone."""
-    body = lone_core_settings(os.path.join(folder, 'data'), **more)
-    os.mkdir(body['data'])
+def write_core_settings(folder, more):
+    """Write the settings of a core that serves alone; return the path of the file."""
+    settings = lone_core_settings(os.path.join(folder, 'data'), **more)
+    os.mkdir(settings['data'])
     path = os.path.join(folder, 'settings.json')
     with open(path, 'w', encoding='utf-8') as file:
-        json.dump(body, file)
+        json.dump(settings, file)
     return path
 
 
-def said(path):
+def read_text(path):
     with open(path, encoding='utf-8') as file:
         return file.read()
 
 
-@when(
-    'it is started with settings that make it serve, and gets SIGHUP again and again as soon as it ignores it'
-)
-def hung_up(context):
+@when('it is started with valid settings, and gets SIGHUP repeatedly as soon as it ignores it')
+def hang_up_during_start(context):
     folder = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, folder)
-    verb, more = ('serve', {}) if context.module == 'quillstall' else (MEMBER, {'list': '127.0.0.1:1'})
-    command = [sys.executable, '-m', context.module, verb, core_settings(folder, more)]
-    path = os.path.join(folder, 'log')
-    end = time.monotonic() + START_LIMIT_S
-    with open(path, 'w', encoding='utf-8') as log:
+    command_name, more = (
+        ('serve', {}) if context.module == 'quillstall' else (TESTBED_SERVE_COMMAND, {'list': '127.0.0.1:1'})
+    )
+    command = [sys.executable, '-m', context.module, command_name, write_core_settings(folder, more)]
+    log_path = os.path.join(folder, 'log')
+    deadline = time.monotonic() + START_LIMIT_S
+    with open(log_path, 'w', encoding='utf-8') as log:
         process = subprocess.Popen(command, stdout=log, stderr=log, stdin=subprocess.DEVNULL)
         try:
-            while time.monotonic() < end and process.poll() is None and not ignores_hangup(process.pid):
-                time.sleep(PAUSE_S)
-            while time.monotonic() < end and process.poll() is None and 'told_of_settings' not in said(path):
+            while time.monotonic() < deadline and process.poll() is None and not ignores_hangup(process.pid):
+                time.sleep(POLL_INTERVAL_S)
+            while (
+                time.monotonic() < deadline
+                and process.poll() is None
+                and 'told_of_settings' not in read_text(log_path)
+            ):
                 process.send_signal(signal.SIGHUP)
-                time.sleep(PAUSE_S)
-            context.ended = process.poll()
+                time.sleep(POLL_INTERVAL_S)
+            context.early_exit_code = process.poll()
             process.terminate()
-            context.code = process.wait(START_LIMIT_S)
+            context.exit_code = process.wait(START_LIMIT_S)
         finally:
             if process.poll() is None:
                 process.kill()
-    context.log = said(path)
+    context.log = read_text(log_path)
 
 
-@then('it comes to serve, notes a SIGHUP, and ends with code 0 when it is told to')
+@then('it serves, notes a SIGHUP, and ends with code 0 on SIGTERM')
 def served(context):
-    assert context.ended is None and context.code == 0, (context.ended, context.code, context.log)
+    assert context.early_exit_code is None and context.exit_code == 0, (
+        context.early_exit_code,
+        context.exit_code,
+        context.log,
+    )
     assert 'told_of_settings' in context.log and 'Traceback' not in context.log, context.log
 
 
 class SilentNet:
-    """Takes what is asked and never returns."""
+    """A transport that accepts calls and never gets a reply."""
 
     def __init__(self):
-        self.asked = []
+        self.called_addresses = []
 
     async def ask(self, address, message, limit):
-        self.asked.append(address)
+        self.called_addresses.append(address)
         await asyncio.get_running_loop().create_future()
 
 
-@given('a core that forwards an order to a primary that does not answer')
-def forwarding(context):
-    async def elsewhere(message):
+@given("a core that forwards an operator's request to a primary that does not answer")
+def forwarding_core(context):
+    async def redirect_to_primary(message):
         return Fault('core_away', 'not the primary', more={'at': '127.0.0.1:2'}).pack()
 
-    journal = SimpleNamespace(count=lambda *what: None)
+    journal = SimpleNamespace(count=lambda *args: None)
     context.net = SilentNet()
     ctx = Ctx({'address': '127.0.0.1:1', 'role': 'core'}, None, context.net, None, None, journal, None)
-    context.host = SimpleNamespace(told=elsewhere, tasks=set())
-    context.desk = Desk(ctx, context.host)
+    context.host = SimpleNamespace(told=redirect_to_primary, tasks=set())
+    context.admin_api = AdminApi(ctx, context.host)
 
 
-async def begun(context):
-    """The caller's task, once its order is on the way."""
-    caller = asyncio.ensure_future(context.desk.primary({'k': 'apply'}))
-    while not context.net.asked:
+async def begin_request(context):
+    """Return the caller's task, once its request has been forwarded."""
+    caller = asyncio.ensure_future(context.admin_api.call_primary({'k': 'apply'}))
+    while not context.net.called_addresses:
         await asyncio.sleep(0)
     return caller
 
 
-@when('the core ends its tasks while the caller still waits')
-def core_ends(context):
+@when('the core cancels its tasks while the caller still waits')
+def core_cancels_tasks(context):
     async def script():
-        caller = await begun(context)
+        caller = await begin_request(context)
         for task in list(context.host.tasks):
             task.cancel()
         return (await asyncio.gather(caller, return_exceptions=True))[0]
@@ -137,15 +145,15 @@
     context.outcome = asyncio.run(script())
 
 
-@then('the caller is told "{code}"')
-def caller_told(context, code):
+@then('the caller gets the error "{code}"')
+def caller_gets_error(context, code):
     assert isinstance(context.outcome, Fault) and context.outcome.code == code, repr(context.outcome)
 
 
 @when("the caller's own task is cancelled")
-def caller_cancelled(context):
+def cancel_caller(context):
     async def script():
-        caller = await begun(context)
+        caller = await begin_request(context)
         caller.cancel()
         await asyncio.wait((caller,))
         return caller.cancelled(), [task.done() for task in context.host.tasks]
@@ -153,6 +161,6 @@
     context.outcome = asyncio.run(script())
 
 
-@then('that task ends cancelled, and the order is still under way')
-def order_goes_on(context):
+@then('that task ends cancelled, and the forwarded request is still in flight')
+def request_goes_on(context):
     assert context.outcome == (True, [False]), context.outcome
--- a/src/quillstall/controlplane/run.py
+++ b/src/quillstall/controlplane/run.py
@@ -1,11 +1,11 @@
-"""Run: a control-plane process, core or store, from its context to its end."""
+"""The life of a control-plane process, core or store, from its context to its end."""
 
 import asyncio
 from typing import Any
 from uuid import UUID
 
 from quillstall.controlplane import core, core_state, store
-from quillstall.controlplane.desk import Desk
+from quillstall.controlplane.admin_api import AdminApi
 from quillstall.network.httpserver import Listener
 from quillstall.network.listing import Listing
 from quillstall.runtime.clock import of_ms
@@ -13,36 +13,39 @@
 from quillstall.runtime.errors import Fault
 from quillstall.runtime.process import Ctx, Host, blocked_after_s
 
-HAND_OVER = of_ms(1700)  # the longest that a stop signal waits for others to take over
-HAND_OVER_PAUSE = of_ms(100)
-LOOK_EVERY = of_ms(700)  # how often the list of replicas is asked for, by the primary alone
-ROLES: dict[str, Any] = {'core': core, 'store': store}
+HANDOVER_TIMEOUT = of_ms(1700)  # the longest that a stop signal waits for other cores to take over
+HANDOVER_POLL_INTERVAL = of_ms(100)
+LISTING_INTERVAL = of_ms(700)  # between two polls of the list of replicas, which only the primary makes
+ROLE_MODULES: dict[str, Any] = {'core': core, 'store': store}
 
 
 async def run(ctx: Ctx, ready: Any = None) -> None:
-    """Serve until the disk's file is found corrupt or the task is cancelled: `await run(ctx)`."""
+    """Serve until the task is cancelled; raise if the database file is found corrupt.
+
+    The future `ready` gets the host as its result once the process serves.
+    """
     rows = await open_disk(ctx)
-    own = rows.get('', {})
+    identity = rows.get('', {})
     role = ctx.startup['role']
-    if own.get('role') not in (None, role):
-        raise Fault('disk', f"the data folder is a {own['role']}'s, this is a {role}")
-    name = own.get('id') or f'{ctx.startup["name"]}-{UUID(int=ctx.dice.getrandbits(128)).hex[:6]}'
-    count = own.get('starts', 0) + 1
-    await ctx.disk.write((Put('', 'id', name), Put('', 'role', role), Put('', 'starts', count)))
-    part = ROLES[role]
+    if identity.get('role') not in (None, role):
+        raise Fault('disk', f"the data folder is a {identity['role']}'s, this is a {role}")
+    name = identity.get('id') or f'{ctx.startup["name"]}-{UUID(int=ctx.dice.getrandbits(128)).hex[:6]}'
+    start_count = identity.get('starts', 0) + 1
+    await ctx.disk.write((Put('', 'id', name), Put('', 'role', role), Put('', 'starts', start_count)))
+    reducer = ROLE_MODULES[role]
     startup = {**ctx.startup, 'founding': False} if ctx.disk.was_set_aside() else ctx.startup
-    state = part.load(name, startup, rows, count * 1_000_000, ctx.clock.now())
-    ctx.journal.note('start', role=role, id=name, count=count, empty='id' not in own)
-    host = Host(ctx, state, part.step, part.where)
+    state = reducer.load(name, startup, rows, start_count * 1_000_000, ctx.clock.now())
+    ctx.journal.note('start', role=role, id=name, count=start_count, empty='id' not in identity)
+    host = Host(ctx, state, reducer.step, reducer.where)
     await ctx.net.serve(ctx.startup.get('listen') or ctx.startup['address'], host.told)
     if ctx.startup.get('http'):
-        await ctx.web.serve(ctx.startup['http'], Desk(ctx, host).serve)
+        await ctx.web.serve(ctx.startup['http'], AdminApi(ctx, host).serve)
     control = None
     if ctx.desk and ctx.startup.get('control'):
         control = Listener(ctx.desk(ctx, host).serve, ctx.journal.count)
         control.listen(ctx.startup['control'])
     if ctx.lister and role == 'core':
-        host.spawn(look(ctx, host))
+        host.spawn(poll_listing(ctx, host))
     if ready:
         ready.set_result(host)
     try:
@@ -55,12 +58,13 @@
 
 
 async def open_disk(ctx: Ctx) -> dict[str, dict[str, Any]]:
-    """All rows of the data folder: `rows = await open_disk(ctx)`.
+    """Return all rows of the data folder.
 
-    A file that is torn or corrupt is set aside, and the process comes back as a new member with an empty
-    folder, which the others bear like any lost disk. It may then never found a fleet: it had one. Nothing
-    of the file is used, since it may hold less than this member confirmed, and a member that votes or leads
-    with less breaks promises; an empty one has a new name and cannot answer for the old."""
+    A file that is torn or corrupt is set aside, and the process comes back as a new member with an empty folder,
+    which the others handle like any lost disk. It must not found a fleet then: it belonged to one. Nothing of the
+    file is used, since it may hold less than this member confirmed, and a member that votes or leads with less
+    breaks its promises; an empty member has a new name and cannot speak for the old one.
+    """
     opening = asyncio.ensure_future(ctx.disk.open())
     done, _ = await asyncio.wait((opening,), timeout=blocked_after_s(ctx.startup))
     if not done:
@@ -74,31 +78,33 @@
 
 
 async def hand_over(host: Host) -> None:
-    """On a stop signal, let other cores take over what this one holds; wait for it a little, not longer:
-    `await hand_over(host)`. A store holds nothing that could be handed over without copying: it just ends,
-    and its partitions go on when it is back or replaced."""
+    """On a stop signal, wait up to HANDOVER_TIMEOUT for other cores to take over what this core holds.
+
+    A store holds nothing that could be handed over without copying: it just ends, and its partitions go on when it
+    is back or replaced.
+    """
     if host.ctx.startup['role'] != 'core':
         return
-    clock, desk = host.ctx.clock, Desk(host.ctx, host)
-    end = clock.now() + HAND_OVER
-    while clock.now() < end:
+    clock, admin_api = host.ctx.clock, AdminApi(host.ctx, host)
+    deadline = clock.now() + HANDOVER_TIMEOUT
+    while clock.now() < deadline:
         try:
-            ask = desk.primary({'k': 'hand_over', 'name': host.state.me})
-            ret = await asyncio.wait_for(ask, (end - clock.now()).total_seconds())
-        except (Fault, TimeoutError):  # no primary now: try again while there is time
-            await clock.sleep(HAND_OVER_PAUSE)
+            call = admin_api.call_primary({'k': 'hand_over', 'name': host.state.me})
+            reply = await asyncio.wait_for(call, (deadline - clock.now()).total_seconds())
+        except (Fault, TimeoutError):  # there is no primary now
+            await clock.sleep(HANDOVER_POLL_INTERVAL)
             continue
-        if not ret['wait']:
+        if not reply['wait']:
             break
-        await clock.sleep(HAND_OVER_PAUSE)
+        await clock.sleep(HANDOVER_POLL_INTERVAL)
 
 
-async def look(ctx: Ctx, host: Host) -> None:
-    """While this core is the primary, ask for the list of replicas, for all nodes: `await look(ctx, host)`."""
+async def poll_listing(ctx: Ctx, host: Host) -> None:
+    """While this core is the primary, poll the list of replicas on behalf of all nodes."""
     while True:
         if core_state.is_primary(host.state):
             try:
                 host.queue.put_nowait(Listing(await ctx.lister.look()))
             except Fault as e:
                 ctx.journal.count(f'list.{e.code}')
-        await ctx.clock.sleep(LOOK_EVERY)
+        await ctx.clock.sleep(LISTING_INTERVAL)
