--- a/src/quillstall/__init__.py
+++ b/src/quillstall/__init__.py
@@ -1,1 +1,1 @@
-"""quillstall: a serving tier for agent programs."""
+"""A serving tier for agent programs."""
--- a/src/quillstall/__main__.py
+++ b/src/quillstall/__main__.py
@@ -1,4 +1,4 @@
-"""The command `quillstall`, also as `python -m quillstall`."""
+"""The entry point of `quillstall` and of `python -m quillstall`."""
 
 import sys
 
@@ -6,7 +6,10 @@
 
 
 def main() -> int:
-    """Run the command line; what takes time to load is loaded only when SIGHUP can do no harm."""
+    """Run the command line and return its exit code.
+
+    SIGHUP, which would end the process, is ignored before the modules that take time to import are imported.
+    """
     ignore_until_handled()
     from quillstall.main import main as run_command_line
 
--- a/src/quillstall/controlplane/doctor.py
+++ b/src/quillstall/controlplane/doctor.py
@@ -1,4 +1,4 @@
-"""Doctor: looks for the common faults of a fleet and says what to do about each."""
+"""Diagnosis of a fleet: finds common faults and says how to mend each."""
 
 import asyncio
 from datetime import UTC, datetime, timedelta
@@ -7,95 +7,103 @@
 from quillstall.network.web import CurlWeb, fetch
 from quillstall.runtime.errors import Fault
 
-SKEW = timedelta(milliseconds=500)
+MAX_CLOCK_SKEW = timedelta(milliseconds=500)
 SLOW_SYNC_MS = 100
-CLOCK_MS = 120_000  # two clocks this far off may together reach the bound of 300 s
-QUIET_MS = 2000
-SETTLE_MS = 4000
-ASK = timedelta(seconds=2)
+MAX_CLOCK_OFFSET_MS = 120_000  # two clocks that are this far off may together reach the bound of 300 s
+SILENT_AFTER_MS = 2000
+NEW_PRIMARY_MS = 4000  # within this time of its election not all nodes may have reached the primary
+REQUEST_TIMEOUT = timedelta(seconds=2)
 
 
 class Finding(NamedTuple):
-    """One fault: how grave, where, what, and what to do.
+    """A finding: its severity, the process or partition concerned, the problem, and how to mend it.
 
     >>> Finding('warn', 'core0', 'slow', 'look at its disk').level
     'warn'
     """
 
     level: str
-    place: str
-    what: str
-    do: str
+    subject: str
+    problem: str
+    remedy: str
 
 
-class View(NamedTuple):
-    """What one process answered, or why it did not.
+class StatusReply(NamedTuple):
+    """The reply of a core to a request for its status, or the error that came in its place.
 
-    >>> View('127.0.0.1:7001', None, 'unreachable').status is None
+    >>> StatusReply('127.0.0.1:7001', None, 'unreachable').status is None
     True
     """
 
-    at: str
+    address: str
     status: dict | None
-    fault: str = ''
-    asked: datetime | None = None
+    error: str = ''
+    requested_at: datetime | None = None
 
 
-def diagnose(views: list[View], shown: dict | None) -> list[Finding]:
-    """All findings, from what the cores answered and what the primary shows.
+def diagnose(replies: list[StatusReply], policy_reply: dict | None) -> list[Finding]:
+    """Return all findings from the status replies of the cores and from the reply with the policy, if there is one.
 
-    >>> [f.what for f in diagnose([View('127.0.0.1:7001', None, 'unreachable')], None)]
+    >>> [f.problem for f in diagnose([StatusReply('127.0.0.1:7001', None, 'unreachable')], None)]
     ['does not answer: unreachable', 'no core is primary', 'nodes serve on by the word of a majority of the stores']
     """
-    out: list[Finding] = []
-    for view in views:
-        if view.status is None:
-            out.append(
+    findings: list[Finding] = []
+    for reply in replies:
+        if reply.status is None:
+            findings.append(
                 Finding(
                     'fault',
-                    view.at,
-                    f'does not answer: {view.fault}',
+                    reply.address,
+                    f'does not answer: {reply.error}',
                     'start it, or swap it: quillstall swap ADDRESS NEW-ADDRESS',
                 )
             )
             continue
-        told = view.status.get('now')
-        if told and view.asked and abs(datetime.fromisoformat(told) - view.asked) > SKEW + ASK:
-            out.append(
+        reported_time = reply.status.get('now')
+        if (
+            reported_time
+            and reply.requested_at
+            and abs(datetime.fromisoformat(reported_time) - reply.requested_at)
+            > MAX_CLOCK_SKEW + REQUEST_TIMEOUT
+        ):
+            findings.append(
                 Finding(
-                    'warn', view.at, f'its clock is off: {told}', 'set its clock; turn ids carry the time'
+                    'warn',
+                    reply.address,
+                    f'its clock is off: {reported_time}',
+                    'set its clock; turn ids carry the time',
                 )
             )
-        disk = view.status.get('disk') or {}
+        disk = reply.status.get('disk') or {}
         if disk.get('sync_ms', 0) > SLOW_SYNC_MS:
-            out.append(
+            findings.append(
                 Finding(
                     'warn',
-                    view.at,
+                    reply.address,
                     f'a sync takes {disk["sync_ms"]} ms',
                     'give it a faster or less busy disk: every turn waits for two syncs',
                 )
             )
-        if view.status.get('fleet') is None:
-            out.append(
+        if reply.status.get('fleet') is None:
+            findings.append(
                 Finding(
                     'warn',
-                    view.at,
+                    reply.address,
                     'has no fleet yet',
                     'first start: start all three cores; else swap it in, or give it its data folder back',
                 )
             )
-    lead = [v for v in views if v.status and v.status.get('primary')]
-    if not lead:
-        out.append(
+    primaries = [r for r in replies if r.status and r.status.get('primary')]
+    if not primaries:
+        findings.append(
             Finding(
                 'fault',
                 'core',
                 'no core is primary',
-                'two of the three cores, one of them seated, must run and reach each other',
+                'two of the three cores, one of them a member of the core replica set, must run and reach each other',
             )
         )
-        out.append(
+        findings.append(
             Finding(
                 'note',
                 'routing',
@@ -103,30 +111,30 @@
                 'changes of policy and repair of stores wait for the core',
             )
         )
-        return out
-    fleets = {v.status.get('fleet') for v in views if v.status and v.status.get('fleet')}
-    if len(fleets) > 1:
-        out.append(
-            Finding('fault', 'core', f'cores of {len(fleets)} fleets answer', 'point --at at one fleet')
+        return findings
+    fleet_ids = {r.status.get('fleet') for r in replies if r.status and r.status.get('fleet')}
+    if len(fleet_ids) > 1:
+        findings.append(
+            Finding('fault', 'core', f'cores of {len(fleet_ids)} fleets answer', 'point --at at one fleet')
         )
-    return out + look(lead[0].status, shown)
+    return findings + diagnose_primary(primaries[0].status, policy_reply)
 
 
-def look(status: dict, shown: dict | None) -> list[Finding]:
-    """Findings in the primary's view.
+def diagnose_primary(status: dict, policy_reply: dict | None) -> list[Finding]:
+    """Return the findings from the primary's status and from the reply with the policy, if there is one.
 
-    >>> seat = [1, 0, 'a', 'b']
-    >>> s = {'generation': 0, 'members': {}, 'nodes': {}, 'parts': {'p00': seat}, 'plans': [], 'guests': {}}
-    >>> off = {'role': 'route', 'silent_ms': 1, 'lease': True, 'clock_ms': -130_000}
-    >>> [f.what for f in look({**s, 'generation': 1, 'nodes': {'n1': off}}, None)][:1]
+    >>> replica_set = [1, 0, 'a', 'b']
+    >>> s = {'generation': 0, 'members': {}, 'nodes': {}, 'parts': {'p00': replica_set}, 'plans': [], 'guests': {}}
+    >>> skewed = {'role': 'route', 'silent_ms': 1, 'lease': True, 'clock_ms': -130_000}
+    >>> [f.problem for f in diagnose_primary({**s, 'generation': 1, 'nodes': {'n1': skewed}}, None)][:1]
     ["its clock is -130 s off the core's"]
-    >>> look({**s, 'generation': 1, 'nodes': {'n1': {**off, 'silent_ms': 9000}}}, None)[0].what
+    >>> diagnose_primary({**s, 'generation': 1, 'nodes': {'n1': {**skewed, 'silent_ms': 9000}}}, None)[0].problem
     'on 0 live stores'
-    >>> sorted(f.what for f in look(s, None))
+    >>> sorted(f.problem for f in diagnose_primary(s, None))
     ['no policy is in force', 'no routing node has a lease', 'on 0 live stores']
     """
-    out: list[Finding] = []
-    if status.get('seated_ms') is not None and status['seated_ms'] < SETTLE_MS:
+    findings: list[Finding] = []
+    if status.get('seated_ms') is not None and status['seated_ms'] < NEW_PRIMARY_MS:
         return [
             Finding(
                 'note',
@@ -137,10 +145,10 @@
         ]
     nodes, members = status['nodes'], status['members']
     if not status['generation']:
-        out.append(Finding('fault', 'policy', 'no policy is in force', 'quillstall apply POLICY.json'))
-    routes = {n: v for n, v in nodes.items() if v['role'] == 'route'}
-    if not any(v['lease'] for v in routes.values()):
-        out.append(
+        findings.append(Finding('fault', 'policy', 'no policy is in force', 'quillstall apply POLICY.json'))
+    routing_nodes = {n: node for n, node in nodes.items() if node['role'] == 'route'}
+    if not any(node['lease'] for node in routing_nodes.values()):
+        findings.append(
             Finding(
                 'fault',
                 'routing',
@@ -148,110 +156,124 @@
                 'start routing nodes with a core among their seeds',
             )
         )
-    for name, v in sorted(nodes.items()):
-        if v['silent_ms'] > QUIET_MS and v['role'] == 'store' and members.get(name, {}).get('state') == 'in':
-            out.append(
+    for name, node in sorted(nodes.items()):
+        if (
+            node['silent_ms'] > SILENT_AFTER_MS
+            and node['role'] == 'store'
+            and members.get(name, {}).get('state') == 'in'
+        ):
+            findings.append(
                 Finding(
                     'fault',
                     name,
-                    f'silent for {v["silent_ms"]} ms',
+                    f'silent for {node["silent_ms"]} ms',
                     'start it again; if its machine is gone, start an empty store at a new address',
                 )
             )
-        elif v.get('behind'):
-            out.append(
+        elif node.get('behind'):
+            findings.append(
                 Finding(
                     'warn',
                     name,
-                    f'is behind at generation {v["generation"]}: {v["behind"]}',
+                    f'is behind at generation {node["generation"]}: {node["behind"]}',
                     'it sends nothing new until it reaches the core; look at its network',
                 )
             )
-        # a reading is as late as its poll was: an old one, or one that a frozen core took up late,
-        # says nothing
-        off = v.get('clock_ms') if v['silent_ms'] <= QUIET_MS else None
-        if off is not None and abs(off) > CLOCK_MS:
-            out.append(
+        # the delay of a poll distorts the offset, so a poll that is old or was handled late by a frozen core says nothing
+        clock_offset_ms = node.get('clock_ms') if node['silent_ms'] <= SILENT_AFTER_MS else None
+        if clock_offset_ms is not None and abs(clock_offset_ms) > MAX_CLOCK_OFFSET_MS:
+            findings.append(
                 Finding(
                     'fault',
                     name,
-                    f"its clock is {off / 1000:+.0f} s off the core's",
+                    f"its clock is {clock_offset_ms / 1000:+.0f} s off the core's",
                     'set its clock and start it again; beyond 300 s between any two, kept state may go early',
                 )
             )
-        elif off is not None and abs(off) > (SKEW + ASK) / timedelta(milliseconds=1):
-            out.append(
-                Finding('warn', name, f"its clock is {off / 1000:+.1f} s off the core's", 'set its clock')
+        elif clock_offset_ms is not None and abs(clock_offset_ms) > (
+            MAX_CLOCK_SKEW + REQUEST_TIMEOUT
+        ) / timedelta(milliseconds=1):
+            findings.append(
+                Finding(
+                    'warn',
+                    name,
+                    f"its clock is {clock_offset_ms / 1000:+.1f} s off the core's",
+                    'set its clock',
+                )
             )
-        for part, _epoch in v.get('stuck', ()):
-            out.append(
+        for partition, _epoch in node.get('stuck', ()):
+            findings.append(
                 Finding(
                     'warn',
-                    f'{part}@{name}',
+                    f'{partition}@{name}',
                     'its backup does not confirm',
                     'repair runs by itself if a third store lives; else start one',
                 )
             )
-        down = v.get('facts', {}).get('down') or []
-        if down:
-            out.append(
+        ejected_replicas = node.get('facts', {}).get('down') or []
+        if ejected_replicas:
+            findings.append(
                 Finding(
                     'warn',
                     name,
-                    f'finds replicas failing: {", ".join(down)}',
+                    f'finds replicas failing: {", ".join(ejected_replicas)}',
                     'look at them, or take them out: quillstall leaving NAME',
                 )
             )
-    live = {n for n, v in nodes.items() if v['role'] == 'store' and v['silent_ms'] <= QUIET_MS}
-    few: dict[int, list[str]] = {}
-    near = []
-    for part, seat in sorted(status['parts'].items()):
-        have = [n for n in seat[2:] if n in live]
-        if len(have) < 2:
-            few.setdefault(len(have), []).append(part)
-        elif len({members.get(n, {}).get('zone') for n in have}) < 2:
-            near.append(part)
-    for count, parts in sorted(few.items()):
-        out.append(
+    live_stores = {
+        n for n, node in nodes.items() if node['role'] == 'store' and node['silent_ms'] <= SILENT_AFTER_MS
+    }
+    partitions_by_copies: dict[int, list[str]] = {}
+    in_one_zone = []
+    for partition, replica_set in sorted(status['parts'].items()):
+        live_copies = [n for n in replica_set[2:] if n in live_stores]
+        if len(live_copies) < 2:
+            partitions_by_copies.setdefault(len(live_copies), []).append(partition)
+        elif len({members.get(n, {}).get('zone') for n in live_copies}) < 2:
+            in_one_zone.append(partition)
+    for count, partitions in sorted(partitions_by_copies.items()):
+        findings.append(
             Finding(
                 'fault',
-                ' '.join(parts),
+                ' '.join(partitions),
                 f'on {count} live stores',
                 'repair runs by itself while a third store lives; else start one',
             )
         )
-    book = status.get('register') or {'now': {}, 'old': {}}
-    awake = [n for n in book['now'] if n in live]
-    if book['now'] and len(awake) * 2 <= len(book['now']):
-        out.append(
+    lease_quorum = status.get('register') or {'now': {}, 'old': {}}
+    live_members = [n for n in lease_quorum['now'] if n in live_stores]
+    if lease_quorum['now'] and len(live_members) * 2 <= len(lease_quorum['now']):
+        findings.append(
             Finding(
                 'fault',
                 'stores',
-                f'{len(awake)} of {len(book["now"])} registered stores live',
+                f'{len(live_members)} of {len(lease_quorum["now"])} registered stores live',
                 'no change of policy is acknowledged without a majority: start them again',
             )
         )
-    if near:
-        out.append(Finding('warn', ' '.join(near), 'both copies in one zone', 'add a store in another zone'))
+    if in_one_zone:
+        findings.append(
+            Finding('warn', ' '.join(in_one_zone), 'both copies in one zone', 'add a store in another zone')
+        )
     if status['plans']:
-        out.append(
+        findings.append(
             Finding(
                 'note', 'stores', f'{len(status["plans"])} moves are under way', 'ask again in some seconds'
             )
         )
-    for name, row in sorted(members.items()):
-        if row.get('off'):
-            out.append(
+    for name, member in sorted(members.items()):
+        if member.get('off'):
+            findings.append(
                 Finding('note', name, 'is retired and holds nothing', 'its machine may be switched off')
             )
     for address, name in sorted(status['guests'].items()):
-        out.append(
+        findings.append(
             Finding('note', name, f'a new core waits at {address}', f'quillstall swap OLD-ADDRESS {address}')
         )
-    policy = (shown or {}).get('policy') or {}
-    known = {r for p in policy.get('pools', {}).values() for r in p['replicas']}
-    for replica in (shown or {}).get('leaving', ()):
-        out.append(
+    policy = (policy_reply or {}).get('policy') or {}
+    known_replicas = {r for pool in policy.get('pools', {}).values() for r in pool['replicas']}
+    for replica in (policy_reply or {}).get('leaving', ()):
+        findings.append(
             Finding(
                 'note',
                 replica,
@@ -259,63 +281,68 @@
                 'take it out of its pool once its machine is off',
             )
         )
-    for name, v in sorted(routes.items()):
-        strange = sorted(set(v.get('facts', {}).get('used') or {}) - known) if known else []
-        if strange:
-            out.append(
+    for name, node in sorted(routing_nodes.items()):
+        unknown_replicas = (
+            sorted(set(node.get('facts', {}).get('used') or {}) - known_replicas) if known_replicas else []
+        )
+        if unknown_replicas:
+            findings.append(
                 Finding(
                     'warn',
                     name,
-                    f'still runs work on replicas unknown to the policy: {", ".join(strange)}',
+                    f'still runs work on replicas unknown to the policy: {", ".join(unknown_replicas)}',
                     'wait for it to end, or stop those replicas',
                 )
             )
-    return out
+    return findings
 
 
-async def visit(at: list[str]) -> tuple[list[View], dict | None]:
-    """Ask every core for its status, and the policy: `await visit(['127.0.0.1:7001'])`."""
+async def query_cores(addresses: list[str]) -> tuple[list[StatusReply], dict | None]:
+    """Return the status reply of each core, and the reply with the policy of the first core that gives one."""
     web = CurlWeb(8)
 
-    async def one(door: str) -> View:
-        asked = datetime.now(UTC)
+    async def query_status(address: str) -> StatusReply:
+        requested_at = datetime.now(UTC)
         try:
-            status, body, _ = await fetch(web, door, 'GET', '/v1/status', limit=ASK)
-            return View(door, body if status == 200 else None, '' if status == 200 else str(status), asked)
+            status, body, _ = await fetch(web, address, 'GET', '/v1/status', limit=REQUEST_TIMEOUT)
+            return StatusReply(
+                address, body if status == 200 else None, '' if status == 200 else str(status), requested_at
+            )
         except Fault as e:
-            return View(door, None, e.code, asked)
+            return StatusReply(address, None, e.code, requested_at)
 
     try:
-        views = list(await asyncio.gather(*[one(door) for door in at]))
-        shown = None
-        for view in views:
-            if view.status and shown is None:
+        replies = list(await asyncio.gather(*[query_status(address) for address in addresses]))
+        policy_reply = None
+        for reply in replies:
+            if reply.status and policy_reply is None:
                 try:
-                    status, body, _ = await fetch(web, view.at, 'GET', '/v1/policy', limit=ASK)
-                    shown = body if status == 200 else None
+                    status, body, _ = await fetch(
+                        web, reply.address, 'GET', '/v1/policy', limit=REQUEST_TIMEOUT
+                    )
+                    policy_reply = body if status == 200 else None
                 except Fault:
                     continue
-        return views, shown
+        return replies, policy_reply
     finally:
         await web.close()
 
 
-async def journals(at: list[str]) -> list[dict]:
-    """The journals of all processes that can be found from the cores, merged by time:
-    `await journals(['127.0.0.1:7001'])`."""
-    views, _ = await visit(at)
-    doors = list(at)
-    for view in views:
-        for node in (view.status or {}).get('nodes', {}).values():
-            http = node.get('facts', {}).get('http')
-            if http and http not in doors:
-                doors.append(http)
+async def merged_journals(core_addresses: list[str]) -> list[dict]:
+    """Return the journal lines of all processes that can be found from the cores, in the order of time."""
+    replies, _ = await query_cores(core_addresses)
+    addresses = list(core_addresses)
+    for reply in replies:
+        for node in (reply.status or {}).get('nodes', {}).values():
+            http_address = node.get('facts', {}).get('http')
+            if http_address and http_address not in addresses:
+                addresses.append(http_address)
     web = CurlWeb(8)
     lines: list[dict] = []
     try:
-        for door in doors:
+        for address in addresses:
             try:
-                status, body, _ = await fetch(web, door, 'GET', '/v1/journal', limit=ASK)
+                status, body, _ = await fetch(web, address, 'GET', '/v1/journal', limit=REQUEST_TIMEOUT)
             except Fault:
                 continue
             if status == 200:
@@ -325,19 +352,19 @@
     return sorted(lines, key=lambda line: line['at'])
 
 
-def code(findings: list[Finding]) -> int:
-    """The exit code: 1 if anything is broken, else 0.
+def exit_code(findings: list[Finding]) -> int:
+    """Return the exit code of the command: 1 if a finding is a fault, else 0.
 
-    >>> code([Finding('note', '', '', '')]), code([Finding('fault', '', '', '')])
+    >>> exit_code([Finding('note', '', '', '')]), exit_code([Finding('fault', '', '', '')])
     (0, 1)
     """
     return 1 if any(f.level == 'fault' for f in findings) else 0
 
 
-def text(finding: Any) -> str:
-    """A finding as two lines for a person.
+def format_finding(finding: Any) -> str:
+    """Return the two lines that are printed for a finding.
 
-    >>> text(Finding('warn', 'p00', 'is slow', 'wait'))
+    >>> format_finding(Finding('warn', 'p00', 'is slow', 'wait'))
     'warn   p00: is slow\\n       -> wait'
     """
-    return f'{finding.level:<6} {finding.place}: {finding.what}\n       -> {finding.do}'
+    return f'{finding.level:<6} {finding.subject}: {finding.problem}\n       -> {finding.remedy}'
--- a/src/quillstall/main.py
+++ b/src/quillstall/main.py
@@ -1,4 +1,4 @@
-"""The command `quillstall`: run a process of any role, and the operators' commands."""
+"""The command line `quillstall`: runs a process of any role, and the operators' commands."""
 
 from datetime import timedelta
 
@@ -7,7 +7,7 @@
 from cleo.helpers import argument, option
 
 from quillstall.configuration.startup import read
-from quillstall.controlplane.main import OPERATOR_COMMANDS
+from quillstall.controlplane.cli import OPERATOR_COMMANDS
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.daemon import serve, tell
 from quillstall.runtime.errors import Fault
@@ -25,7 +25,7 @@
 
 
 class Serve(Command):
-    """Run one process of the fleet until a stop signal."""
+    """The command `serve`: one process of the fleet, until a stop signal."""
 
     name = 'serve'
     description = 'Run a routing node, core or store until a stop signal; running streams are finished first'
@@ -33,7 +33,7 @@
     options = [option(name, None, text, flag=False) for name, text in SETTINGS]
 
     def handle(self) -> int:
-        """Check the settings, then run the role that they name; the exit code."""
+        """Run the role that the settings name and return the exit code, 2 if the settings are invalid."""
         flags = {name: self.option(name) for name, _ in SETTINGS}
         flags['seeds'] = self.option('seeds').split(',') if self.option('seeds') else None
         try:
@@ -42,14 +42,14 @@
             tell(fault, self.line_error)
             return 2
         if settings['role'] == 'route':
-            return serve_route(settings)
+            return serve_routing_node(settings)
         from quillstall.controlplane.run import hand_over, run
 
         return serve(settings, run, hand_over)
 
 
-def serve_route(settings: dict) -> int:
-    """Run a routing node; a stop signal lets it finish what runs for `drain_ms`."""
+def serve_routing_node(settings: dict) -> int:
+    """Run a routing node and return the exit code; a stop signal lets it finish its requests for `drain_ms`."""
     from quillstall.dataplane.node import Node, run
 
     async def drain(node: Node) -> None:
@@ -59,7 +59,7 @@
 
 
 def main() -> int:
-    """The command line: `quillstall serve settings.json`."""
+    """Run the command that the arguments name, as in `quillstall serve settings.json`; return its exit code."""
     application = Application('quillstall', '0.1.0')
     for command in (Serve, *OPERATOR_COMMANDS):
         application.add(command())
--- a/src/quillstall/testbed/fleet.py
+++ b/src/quillstall/testbed/fleet.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from typing import Any
 
-from quillstall.controlplane.main import ask
+from quillstall.controlplane.cli import send_request
 from quillstall.network.net import split
 from quillstall.network.web import fetch
 from quillstall.runtime.daemon import context
@@ -110,7 +110,7 @@
         for _ in range(60):
             await asyncio.sleep(0.5)
             try:
-                status, _, _ = await ask(
+                status, _, _ = await send_request(
                     self.cores, 'PUT', '/v1/policy', policy or self.deploy.policy, {'X-Request-Id': 'open'}
                 )
                 if status == 200:
