--- a/src/quillstall/main.py
+++ b/src/quillstall/main.py
@@ -12,7 +12,7 @@
 from quillstall.runtime.daemon import serve, tell
 from quillstall.runtime.errors import Fault
 
-DEFAULT_DRAIN = timedelta(seconds=8)
+DEFAULT_DRAIN_TIMEOUT = timedelta(seconds=8)
 SETTINGS = (
     ('role', 'route, core or store'),
     ('name', 'the name of this process'),
@@ -53,7 +53,7 @@
     from quillstall.dataplane.node import Node, run
 
     async def drain(node: Node) -> None:
-        await node.drain(of_ms(settings['drain_ms']) if 'drain_ms' in settings else DEFAULT_DRAIN)
+        await node.drain(of_ms(settings['drain_ms']) if 'drain_ms' in settings else DEFAULT_DRAIN_TIMEOUT)
 
     return serve(settings, run, drain)
 
