--- a/features/steps/answers.py
+++ b/features/steps/answers.py
@@ -93,7 +93,7 @@
 
 @when('the idle connections will be reset between the check and the write')
 def reset_after_check(context):
-    cluster, check = context.cluster, httpclient.quiet
+    cluster, check = context.cluster, httpclient.is_reusable
     context.resets = 0
 
     def check_then_reset(stream):
@@ -110,8 +110,8 @@
                     context.resets += 1
         return True
 
-    httpclient.quiet = check_then_reset
-    context.add_cleanup(setattr, httpclient, 'quiet', check)
+    httpclient.is_reusable = check_then_reset
+    context.add_cleanup(setattr, httpclient, 'is_reusable', check)
 
 
 @then('at least one connection was reset')
--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -262,7 +262,7 @@
             )
             if log['counts'].get('asked', 0) > requests_before:
                 break
-        exchange.cut()
+        exchange.abort()
 
     cluster.run(send_and_disconnect())
 
@@ -546,7 +546,7 @@
     web = CurlWeb(2)
     try:
         await fetch(web, f'127.0.0.1:{port}', 'GET', '/first', limit=LIMIT)
-        exchange = web.open(f'127.0.0.1:{port}', 'GET', path, limit=LIMIT, once=at_most_once)
+        exchange = web.open(f'127.0.0.1:{port}', 'GET', path, limit=LIMIT, at_most_once=at_most_once)
         item = await exchange.next()
         while item[0] != 'end':
             item = await exchange.next()
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -13,7 +13,7 @@
 
 from behave import given, then, when
 
-from quillstall.network.net import MAGIC, TcpNet, pack, unpack
+from quillstall.network.net import MAGIC, TcpNet, encode_frame, decode_frame
 from quillstall.network.web import CurlWeb, fetch
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.disk import Put, SqliteDisk
@@ -145,19 +145,19 @@
         if call.path == '/lines':
             await out.head(200, {'X-A': 'b'})
             for n in range(5):
-                await out.line({'n': n})
+                await out.send_line({'n': n})
             await out.end()
         elif call.path == '/break':
             await out.head(200, {})
-            await out.line({'n': 0})
-            out.cut()
+            await out.send_line({'n': 0})
+            out.abort()
         elif call.path == '/hang':
             await out.head(200, {})
-            await out.line({'n': 0})
-            await out.gone
+            await out.send_line({'n': 0})
+            await out.disconnected
             self.count('gone')
         else:
-            await out.whole(200, {'gone': self.counts.get('gone', 0)})
+            await out.respond(200, {'gone': self.counts.get('gone', 0)})
 
 
 @given('a pair of processes over "{kind}"')
@@ -312,7 +312,7 @@
         flow = web.open(door, 'GET', '/hang', limit=of_ms(60_000))
         while (await flow.next())[0] != 'line':
             pass
-        flow.cut()
+        flow.abort()
         for _ in range(400):
             _, body, _ = await fetch(web, door, 'GET', '/asked', limit=of_ms(3000))
             if body['gone']:
@@ -463,8 +463,8 @@
             await reader.readexactly(4)
             while True:
                 (size,) = struct.unpack('>I', await reader.readexactly(4))
-                call, message = unpack(await reader.readexactly(size))
-                writer.write(pack(call, {'ok': message['k']}))
+                call, message = decode_frame(await reader.readexactly(size))
+                writer.write(encode_frame(call, {'ok': message['k']}))
 
         port = held_port()
         server = await asyncio.start_server(serve, '127.0.0.1', port)
--- a/features/steps/gateway.py
+++ b/features/steps/gateway.py
@@ -8,7 +8,7 @@
 from standin import PARTITIONS, Cluster, send_request, wait_until
 
 from quillstall.configuration.policy import check
-from quillstall.network.net import split
+from quillstall.network.net import parse_address
 
 SOON_S = 2  # well before the deadline of any request here
 
@@ -77,7 +77,7 @@
     context.cluster.run(script())
     holder = socket.socket()  # keeps other processes from listening there
     holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.bind(split(replica.address))
+    holder.bind(parse_address(replica.address))
     context.add_cleanup(holder.close)
 
 
--- a/features/steps/gateway_rules.py
+++ b/features/steps/gateway_rules.py
@@ -105,11 +105,11 @@
 
     async def script():
         exchange = await cluster.begin_request(path, request_id='left', **headers_for(cluster, path))
-        await wait_until(lambda: cluster.nodes[0].gateway.listener.busy)
+        await wait_until(lambda: cluster.nodes[0].gateway.listener.open_requests)
         exchange.close()
         await asyncio.sleep(0.1)
         cluster.stores.unreachable.clear()
-        await wait_until(lambda: not cluster.nodes[0].gateway.listener.busy)
+        await wait_until(lambda: not cluster.nodes[0].gateway.listener.open_requests)
 
     cluster.run(script())
 
@@ -265,10 +265,10 @@
                 await cluster.set_listing(node, a=row)
             else:
                 exchange.close()
-                await responses[0].gone
+                await responses[0].disconnected
             proceed.set()
             context.response = await exchange.read_all()
-            await wait_until(lambda: not listener.busy)
+            await wait_until(lambda: not listener.open_requests)
         finally:
             httpclient.connect = connect
 
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -11,7 +11,7 @@
 from standin import wait_until
 
 from quillstall.controlplane import store
-from quillstall.network.net import MAGIC, TcpNet, pack, unpack
+from quillstall.network.net import MAGIC, TcpNet, encode_frame, decode_frame
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.effect import Return, Told
 from quillstall.runtime.errors import Fault
@@ -38,7 +38,7 @@
             assert await reader.readexactly(4) == MAGIC
             while True:
                 size = int.from_bytes(await reader.readexactly(4))
-                number, message = unpack(await reader.readexactly(size))
+                number, message = decode_frame(await reader.readexactly(size))
                 self.asked.append((writer, number, message))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
@@ -46,7 +46,7 @@
     async def send(self, at, number=None, text=None):
         """The return to what was asked as the at-th, under its own number or another."""
         writer, own, message = self.asked[at]
-        writer.write(pack(own if number is None else number, {'to': text or message['name']}))
+        writer.write(encode_frame(own if number is None else number, {'to': text or message['name']}))
         await writer.drain()
 
 
@@ -212,7 +212,7 @@
     async def script():
         host, port = context.address.split(':')
         _, writer = await asyncio.open_connection(host, int(port))
-        frame = pack(1, {'name': 'cut', 'more': 'x' * 1000})
+        frame = encode_frame(1, {'name': 'cut', 'more': 'x' * 1000})
         writer.write(MAGIC + frame[: len(frame) // 2])
         await writer.drain()
         writer.close()
@@ -312,8 +312,8 @@
             if await reader.readexactly(len(MAGIC)) != MAGIC:
                 return
             (size,) = struct.unpack('>I', await reader.readexactly(4))
-            call, _ = unpack(await reader.readexactly(size))
-            writer.write(pack(call, {'ok': True}))
+            call, _ = decode_frame(await reader.readexactly(size))
+            writer.write(encode_frame(call, {'ok': True}))
             await writer.drain()
         except asyncio.IncompleteReadError:
             pass
--- a/features/steps/platform_folder.py
+++ b/features/steps/platform_folder.py
@@ -11,7 +11,7 @@
 from behave import given, then, when
 from tornado.httputil import HTTPHeaders
 
-from quillstall.network.httpserver import Inbound
+from quillstall.network.httpserver import RawRequest
 from quillstall.testbed.deploy import DEPLOYS
 from quillstall.testbed.sim import World
 from quillstall.testbed.town import Town
@@ -94,7 +94,7 @@
 class Way:
     """The way back of one order."""
 
-    async def whole(self, status, headers, body):
+    async def respond(self, status, headers, body):
         self.status, self.body = status, json.loads(body)
 
 
@@ -111,7 +111,7 @@
         data = body if isinstance(body, bytes) else b'' if body is None else json.dumps(body).encode()
         way = Way()
         work = self.town.machines[f'core{at}'].spawn(
-            orders(host.ctx, host).serve(Inbound(method, path, heads, data), way)
+            orders(host.ctx, host).serve(RawRequest(method, path, heads, data), way)
         )
         async with asyncio.timeout(30):
             await work
--- a/features/steps/wire.py
+++ b/features/steps/wire.py
@@ -135,8 +135,8 @@
             context.bodies[request_id],
             matches,
         )
-        status, _ = await exchange.head(of_ms(4000))
-        while await exchange.data(of_ms(4000)) is not None:
+        status, _ = await exchange.read_headers(of_ms(4000))
+        while await exchange.read_data(of_ms(4000)) is not None:
             pass
         await exchange.task  # now the connection is pooled or closed
         return status
--- a/src/quillstall/controlplane/desk.py
+++ b/src/quillstall/controlplane/desk.py
@@ -53,7 +53,7 @@
         if path == '/metrics' and call.method == 'GET':
             gauges = {'sync_ms': self.ctx.disk.sync_ms or 0.0, 'unsynced': len(self.host.unsynced)}
             data = metrics.exposition(self.ctx.journal.counts, gauges)
-            await out.raw(200, data, metrics.CONTENT_TYPE)
+            await out.respond_bytes(200, data, metrics.CONTENT_TYPE)
             return
         try:
             kind = PLACES.get((call.method, path))
@@ -63,10 +63,10 @@
             ret = await self.work(kind, call)
         except Fault as e:
             heads = {'Retry-After': '1'} if e.status == 503 else {}
-            await out.whole(e.status, e.problem(path), heads)
+            await out.respond(e.status, e.problem(path), heads)
             return
         gen = ret.get('policy_generation', ret.get('generation'))
-        await out.whole(200, ret, {'ETag': f'"{gen}"'} if gen is not None else {})
+        await out.respond(200, ret, {'ETag': f'"{gen}"'} if gen is not None else {})
 
     async def work(self, kind: str, call: Any) -> dict:
         if kind == 'counters':
--- a/src/quillstall/controlplane/leases.py
+++ b/src/quillstall/controlplane/leases.py
@@ -37,7 +37,7 @@
         lacks_generation(node, rows.get('gen', 0))
         or node.placement_version != rows.get('place', 0)
         or node.register_number < current_register(state)['number']
-        or (node.role == 'route' and listing.newer(node.listing, state.listing))
+        or (node.role == 'route' and listing.is_newer(node.listing, state.listing))
     )
 
 
@@ -179,7 +179,7 @@
         lacks_generation(node, rows.get('gen', 0)) for node in polling
     ):
         return state
-    return state._replace(packed_policy=PackedPolicy(policy, packing.packed(policy)))
+    return state._replace(packed_policy=PackedPolicy(policy, packing.compress(policy)))
 
 
 def policy_for(node: Node, policy: PackedPolicy) -> dict:
@@ -192,8 +192,8 @@
     {'policy': None}
     """
     if node.accepts_packed and policy.data:
-        return {packing.PACKED_POLICY: policy.data}
-    return {packing.POLICY: policy.policy}
+        return {packing.PACKED_POLICY_KEY: policy.data}
+    return {packing.POLICY_KEY: policy.policy}
 
 
 def answer_poll(
@@ -226,7 +226,7 @@
         reply['seats'] = {p: list(s) for p, s in book.named(rows, 'part/')}
         reply['book'] = {n: r['address'] for n, r in book.named(rows, 'member/')}
         reply['known'] = [a for a, _ in book.named(rows, 'known/')]
-    if node.role == 'route' and listing.newer(node.listing, state.listing):
+    if node.role == 'route' and listing.is_newer(node.listing, state.listing):
         reply['listing'] = listing.to_wire(state.listing, now)
     elif node.role == 'route' and state.listing and node.listing.get('digest') == state.listing['digest']:
         seen = {key: state.listing[key] for key in ('at', 'digest')}
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -6,7 +6,7 @@
 from immutables import Map
 
 from quillstall.controlplane import shelf
-from quillstall.network.packing import with_policy
+from quillstall.network.packing import with_unpacked_policy
 from quillstall.replication import group, register, watch
 from quillstall.replication.group import Grant, Move, Op, Seat
 from quillstall.replication.register import LEASE, Word
@@ -455,7 +455,7 @@
         return state._replace(at=at, turn=state.turn + 1, fails=state.fails + (ret is None))
     if state.fleet is not None and ret['fleet'] != state.fleet:
         return state._replace(turn=state.turn + 1)
-    ret = with_policy(ret)
+    ret = with_unpacked_policy(ret)
     core = tuple(ret['core'])
     if core != state.core or ret['fleet'] != state.fleet:
         out.append(Write((Put('', 'core', list(core)), Put('', 'fleet_id', ret['fleet'])), ('none',)))
--- a/src/quillstall/dataplane/dialect.py
+++ b/src/quillstall/dataplane/dialect.py
@@ -5,7 +5,7 @@
 
 from tornado.httputil import HTTPHeaders
 
-from quillstall.network.httpserver import Inbound
+from quillstall.network.httpserver import RawRequest
 from quillstall.runtime.errors import Fault
 
 HOP_BY_HOP_HEADERS = frozenset(
@@ -90,11 +90,11 @@
     return int(text)
 
 
-def parse_request(dialect: Dialect, call: Inbound) -> Request:
+def parse_request(dialect: Dialect, call: RawRequest) -> Request:
     """Return a received request, parsed by its headers. Raises Fault 'bad_header' for a malformed header.
 
     >>> headers = HTTPHeaders({'Host': 'A.example:80', 'X-Tokens': '120,8', 'X-Prompt-Parts': 'aa:100,bb:20'})
-    >>> r = parse_request(Dialect(), Inbound('POST', '/x', headers, b'hi')); r.host, r.max_tokens, r.prompt_parts
+    >>> r = parse_request(Dialect(), RawRequest('POST', '/x', headers, b'hi')); r.host, r.max_tokens, r.prompt_parts
     ('a.example', 8, (('aa', 100), ('bb', 20)))
     """
     headers = call.headers
--- a/src/quillstall/dataplane/gateway.py
+++ b/src/quillstall/dataplane/gateway.py
@@ -26,9 +26,9 @@
 from quillstall.dataplane.routetable import RouteTable
 from quillstall.dataplane.stalls import StallWatch, stall_limit, usual_silence
 from quillstall.dataplane.turn_cache import CachedTurn, TurnCache
-from quillstall.network.httpclient import AnswerTest, Exchange, HttpClient
-from quillstall.network.httpserver import Call, Inbound, JsonOut, Listener
-from quillstall.network.net import connect, split
+from quillstall.network.httpclient import ResponseTest, Exchange, HttpClient
+from quillstall.network.httpserver import JsonRequest, RawRequest, JsonResponse, Listener
+from quillstall.network.net import connect, parse_address
 from quillstall.runtime.clock import ms, of_ms
 from quillstall.runtime.errors import Fault
 
@@ -64,7 +64,7 @@
         self.ctx = node.ctx
         self.dialect = dialect
         count = self.ctx.journal.count
-        self.client = HttpClient(count, split(self.ctx.startup['address'])[0])
+        self.client = HttpClient(count, parse_address(self.ctx.startup['address'])[0])
         violated = self.ctx.journal.violated
         self.listener = Listener(self.serve, count, violated=violated)
         self.readiness_listener: Listener | None = None
@@ -99,18 +99,18 @@
             and admission_state.leased(state, self.ctx.clock.now())
         )
 
-    async def serve_readiness(self, call: Inbound, response: Any) -> None:
+    async def serve_readiness(self, call: RawRequest, response: Any) -> None:
         """Answer a readiness check, or a request to the node's admin API and metrics on the same address."""
         if call.path.startswith('/v1/') or call.path == '/metrics':
-            await self.node.serve(Call(call.method, call.path, {}, call.body), JsonOut(response))
+            await self.node.serve(JsonRequest(call.method, call.path, {}, call.body), JsonResponse(response))
             return
-        await response.whole(200 if self.ready() else 503, HTTPHeaders(), b'')
+        await response.respond(200 if self.ready() else 503, HTTPHeaders(), b'')
 
     async def close_idle_connections(self) -> None:
         """Close idle connections to replicas once a second, until cancelled."""
         while True:
             await self.ctx.clock.sleep(of_ms(1000))
-            self.client.tidy()
+            self.client.close_expired()
 
     async def drain(self, end: datetime) -> None:
         """Report not ready, keep serving, and return when no request is open, or at `end`.
@@ -121,13 +121,13 @@
         self.final_response_at = end - FINAL_RESPONSE_MARGIN
         clock, start = self.ctx.clock, self.ctx.clock.now()
         while clock.now() < self.final_response_at and (
-            self.listener.busy or clock.now() - start < MIN_DRAIN_TIME
+            self.listener.open_requests or clock.now() - start < MIN_DRAIN_TIME
         ):
             await clock.sleep(DRAIN_POLL_INTERVAL)
         self.listener.server.stop()
         self.node.post_event(Drain())
-        self.client.cut_all(Fault('late', 'this node stops'))
-        while clock.now() < end and self.listener.busy:
+        self.client.abort_all(Fault('late', 'this node stops'))
+        while clock.now() < end and self.listener.open_requests:
             await clock.sleep(DRAIN_POLL_INTERVAL)
 
     async def close(self) -> None:
@@ -154,7 +154,7 @@
 
     def apply_limits(self, limits: dict) -> None:
         """Apply the policy's limits to callers' connections."""
-        self.listener.limit(
+        self.listener.set_limits(
             limits.get('head_bytes', 65536) + 1024,
             limits.get('body_bytes', 8 * 2**20) + 1024,
             of_ms(limits.get('idle_ms', 60_000) + 2000),
@@ -193,7 +193,7 @@
         self.split_positions[route_name] = (position + GOLDEN_RATIO_FRACTION) % 1.0
         return position
 
-    async def serve(self, call: Inbound, response: Any) -> None:
+    async def serve(self, call: RawRequest, response: Any) -> None:
         """Serve one HTTP request; every fault is answered."""
         start = self.ctx.clock.now()
         self.ctx.journal.count('http.requests')
@@ -219,13 +219,13 @@
             status = await self.respond_with_fault(response, e, call.path)
             if e.code != 'gone':
                 request_id = call.headers.get(self.dialect.request_id) or ''
-                self.failures.record(request_id, call.path, e, status, start, response.trail)
+                self.failures.record(request_id, call.path, e, status, start, response.failed_attempts)
 
     async def respond_with_fault(self, response: Any, fault: Fault, path: str) -> int:
         """Answer with a fault and return its status, or cut a response that has begun and return 0."""
         self.ctx.journal.count(f'told.{fault.code}')
-        if fault.code == 'gone' or response.headed:
-            response.cut()
+        if fault.code == 'gone' or response.headers_sent:
+            response.abort()
             return 0
         if fault.code in ('unreachable', 'hopeless', 'moved'):
             fault = Fault('no_replica', fault.text, wait_ms=fault.wait_ms)
@@ -243,7 +243,7 @@
                 else refusal.retry_after(wait_ms)
             )
         try:
-            await response.whole(status, headers, json_bytes(fault.problem(path)))
+            await response.respond(status, headers, json_bytes(fault.problem(path)))
         except StreamClosedError:
             self.ctx.journal.count('http.gone')
         return status
@@ -296,7 +296,7 @@
             if r not in (replica, *task.excluded_replicas, *state.ejections)
         ]
 
-    def response_matcher(self, request: Request) -> AnswerTest:
+    def response_matcher(self, request: Request) -> ResponseTest:
         """Return a test whether a response belongs to this request: it must repeat the request id."""
         name = self.dialect.request_id
         return lambda status, headers: headers.get(name) is not None and headers[name] == request.request_id
@@ -362,16 +362,16 @@
         if cut_if_disconnected:
 
             def cut_exchange(_: Any) -> None:
-                exchange.cut(Fault('gone'))
+                exchange.abort(Fault('gone'))
 
             disconnected.add_done_callback(cut_exchange)
         try:
             if watch:
-                status, head = await watch.wait(exchange.head)
+                status, head = await watch.wait(exchange.read_headers)
             else:
-                status, head = await exchange.head(deadline - clock.now())
+                status, head = await exchange.read_headers(deadline - clock.now())
         except BaseException:
-            exchange.cut()
+            exchange.abort()
             raise
         if status < 300 and head.get(names.request_id) != request.request_id:
             self.ctx.journal.violated(
@@ -403,7 +403,7 @@
         """Return the whole body of a response."""
         chunks = []
         while True:
-            data = await exchange.data(deadline - self.ctx.clock.now())
+            data = await exchange.read_data(deadline - self.ctx.clock.now())
             if data is None:
                 return b''.join(chunks)
             chunks.append(data)
@@ -449,11 +449,11 @@
     ) -> bool:
         """End a failed attempt and return whether it may have run. Raises Fault 'gone' if the caller left."""
         if exchange:
-            exchange.cut()
+            exchange.abort()
         if fault.code == 'gone':
             raise fault
         self.report_health(replica, fault)
-        response.trail.append(Attempt(replica, ms(self.ctx.clock.now() - start), fault.code, fault.text))
+        response.failed_attempts.append(Attempt(replica, ms(self.ctx.clock.now() - start), fault.code, fault.text))
         if fault.code in ('unreachable', 'hopeless'):
             return False
         response.may_have_run = True
@@ -506,14 +506,14 @@
         if record_key:
             stored = await self.keyed_operations.claim(record_key, request, run_id, start, deadline)
             if stored is not None:
-                await response.whole(*stored)
+                await response.respond(*stored)
                 return
         repeatable = route['repeat'] == 'any'
         attempt_limit = route.get('attempts') or (2 if repeatable else 1)
         may_have_run = done = False
         sends, sent_at, final_response = 0, clock.now(), None
         duration = None
-        disconnected = response.gone if not record_key else asyncio.get_running_loop().create_future()
+        disconnected = response.disconnected if not record_key else asyncio.get_running_loop().create_future()
         replica = ''
         try:
             replica = await node.admit(task, disconnected)
@@ -572,7 +572,7 @@
         if record_key:
             await self.keyed_operations.save_response(record_key, run_id, final_response)
         self.ctx.journal.count('calls.done')
-        await response.whole(*final_response)
+        await response.respond(*final_response)
 
     # ---- turns
 
@@ -689,14 +689,14 @@
         sends, runs, forwarded, last_event_id, output = 0, 0, 0, request.last_event_id, []
         duration, replica, exchange = None, '', None
         try:
-            replica = await node.admit(task, response.gone)
+            replica = await node.admit(task, response.disconnected)
             if in_store:
                 conversation, other_program = await self.begin_turn(route, request, run_id, deadline, start)
                 reserved = True
             sent_at = clock.now()
             body = conversation + request.body
             while True:
-                if response.gone.done():
+                if response.disconnected.done():
                     raise Fault('gone')
                 sends += 1
                 exchange = None
@@ -714,7 +714,7 @@
                         deadline,
                         max_idle_fraction,
                         last_event_id,
-                        response.gone,
+                        response.disconnected,
                         True,
                         watch,
                     )
@@ -724,7 +724,7 @@
                         if headers_sent:
                             raise Fault('replica_failed', f'{replica} answered {exchange.status}')
                         self.report_health(replica, None, exchange.status)
-                        await response.whole(exchange.status, self.response_headers(exchange.headers), data)
+                        await response.respond(exchange.status, self.response_headers(exchange.headers), data)
                         return
                     self.prefixes.record_sent(replica, request.session or '', request.prompt_parts)
                     if not headers_sent:
@@ -732,7 +732,7 @@
                         await response.head(200, self.response_headers(exchange.headers))
                     parser, first_chunk = EventStreamParser(), True
                     while True:
-                        data = await watch.wait(exchange.data)
+                        data = await watch.wait(exchange.read_data)
                         if data is None:
                             break
                         events = parser.feed(data)
@@ -773,7 +773,7 @@
                     if sends >= MAX_SENDS or e.code == 'hopeless' or clock.now() >= deadline:
                         raise
                     node.post_event(Leave(run_id, forwarded * event_tokens))
-                    task, replica = await node.readmit(task, replica, response.gone, e)
+                    task, replica = await node.readmit(task, replica, response.disconnected, e)
             duration = clock.now() - sent_at
             if retain:
                 data = (conversation if other_program else b'') + request.body + b''.join(output)
@@ -801,8 +801,8 @@
                 raise
             raise final from e
         finally:
-            if exchange and not exchange.whole:
-                exchange.cut()
+            if exchange and not exchange.complete:
+                exchange.abort()
             node.post_event(
                 Leave(run_id, request.prompt_tokens + forwarded * event_tokens if forwarded else 0, duration)
             )
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -37,7 +37,7 @@
 from quillstall.dataplane.request_parser import TurnRequest, read_deadline_ms, read_key, read_turn
 from quillstall.network import listing
 from quillstall.network.listing import Listing
-from quillstall.network.packing import with_policy
+from quillstall.network.packing import with_unpacked_policy
 from quillstall.replication import register, watch
 from quillstall.replication.register import LEASE
 from quillstall.replication.rendezvous import part_of
@@ -440,7 +440,7 @@
         if reply['epoch'] < self.state.epoch:
             self.ctx.journal.count('news.old')
             return
-        reply = with_policy(reply)
+        reply = with_unpacked_policy(reply)
         self.fleet_id = reply['fleet']
         self.core_addresses = reply['core']
         self.watch = watch.take(self.watch, reply, self.ctx.clock.now())
@@ -640,7 +640,7 @@
                 'deadline_ms': ms(time_limit),
             },
         )
-        replica = await self.admit(task, response.gone)
+        replica = await self.admit(task, response.disconnected)
         turn_id = turn_ids.encode(
             turn_ids.TurnId(
                 program, clock.wall(), prompt_tokens + max_tokens, replica, task_id.replace('~', '-')
@@ -670,7 +670,7 @@
                         prompt_tokens,
                         max_tokens,
                         deadline,
-                        response.gone,
+                        response.disconnected,
                         may_retry,
                     ):
                         if kind == 'piece':
@@ -683,7 +683,7 @@
                                 if not headers_sent:
                                     headers_sent = True
                                     await response.head(200, {'X-Turn-Id': turn_id})
-                                await response.line(
+                                await response.send_line(
                                     {
                                         'piece': piece_count - 1,
                                         'text': piece['text'],
@@ -701,7 +701,7 @@
                     may_have_run = may_have_run or e.code != 'unreachable'
                     self.post_event(Leave(task_id, (prompt_tokens + used_tokens) if piece_count else 0))
                     used_tokens, piece_count, pieces = 0, 0, []
-                    task, replica = await self.readmit(task, replica, response.gone, e)
+                    task, replica = await self.readmit(task, replica, response.disconnected, e)
             duration = clock.now() - started_at
             record = {
                 'program': program,
@@ -735,10 +735,10 @@
             if request.stream:
                 if not headers_sent:
                     await response.head(200, {'X-Turn-Id': turn_id})
-                await response.line({'end': True, **totals})
+                await response.send_line({'end': True, **totals})
                 await response.end()
             else:
-                await response.whole(200, {'text': ''.join(pieces), **totals}, {'X-Turn-Id': turn_id})
+                await response.respond(200, {'text': ''.join(pieces), **totals}, {'X-Turn-Id': turn_id})
             self.ctx.journal.count('turns.done' if clock.now() <= deadline else 'turns.late')
         except StreamClosedError:
             error = Fault('gone')
@@ -771,7 +771,7 @@
             self.ctx.journal.count('tokens.abandoned', prompt_tokens + used_tokens)
         if headers_sent:
             if error.code != 'gone':
-                await response.line({'error': error.problem('/v1/turns'), 'pieces': piece_count})
+                await response.send_line({'error': error.problem('/v1/turns'), 'pieces': piece_count})
                 await response.end()
             return
         raise error
@@ -922,7 +922,7 @@
                 raise Fault('late', f'{piece_count} pieces by the deadline') from e
             raise
         finally:
-            exchange.cut()
+            exchange.abort()
 
     async def next_item(self, exchange: Any, timeout: timedelta, disconnected: asyncio.Future) -> tuple:
         """Return the next item of an exchange; raises Fault 'slow' on a timeout, 'gone' on a disconnect."""
@@ -993,7 +993,7 @@
         )
         sent = completed = may_have_run = False
         # a keyed operation runs to its end for its record, even if its caller disconnects
-        disconnected = asyncio.get_running_loop().create_future() if record_key else response.gone
+        disconnected = asyncio.get_running_loop().create_future() if record_key else response.disconnected
         duration, started_at, reply = None, clock.now(), None
         attempts = 0
         try:
@@ -1010,7 +1010,7 @@
                     'deadline_ms': ms(time_limit),
                 },
             )
-            replica = await self.admit(task, response.gone)
+            replica = await self.admit(task, response.disconnected)
             started_at = clock.now()
             while True:
                 attempts += 1
@@ -1033,7 +1033,7 @@
                         raise
                     may_have_run = may_have_run or e.code != 'unreachable'
                     self.post_event(Leave(task_id))
-                    task, replica = await self.readmit(task, replica, response.gone, e)
+                    task, replica = await self.readmit(task, replica, response.disconnected, e)
             duration = clock.now() - started_at
             if record_key:
                 await self.call_store(
@@ -1171,7 +1171,7 @@
                 self.post_event(Health(replica, False))
             raise
         finally:
-            exchange.cut()
+            exchange.abort()
 
     # ---- the HTTP API, messages of other processes, start and stop
 
@@ -1188,7 +1188,7 @@
                 service, _, rest = path[len('/v1/services/') :].partition('/')
                 await self.serve_call(service, '/' + rest, request, response)
             elif path == '/v1/counters':
-                await response.whole(
+                await response.respond(
                     200,
                     {
                         'counters': dict(sorted(self.ctx.journal.counts.items())),
@@ -1196,16 +1196,16 @@
                     },
                 )
             elif path == '/v1/journal':
-                await response.whole(200, {'lines': list(self.ctx.journal.lines)})
+                await response.respond(200, {'lines': list(self.ctx.journal.lines)})
             elif path == '/v1/status':
-                await response.whole(200, self.status())
+                await response.respond(200, self.status())
             elif path == '/v1/failures':
-                await response.whole(
+                await response.respond(
                     200, {'failures': self.gateway.failures.as_json() if self.gateway else []}
                 )
             elif path == '/metrics':
                 data = metrics.exposition(self.ctx.journal.counts, self.gauges())
-                await response.raw(200, data, metrics.CONTENT_TYPE)
+                await response.respond_bytes(200, data, metrics.CONTENT_TYPE)
             else:
                 raise Fault('not_found', path)
         except Fault as e:
@@ -1217,7 +1217,7 @@
             e.wait_ms = wait_ms
             headers = {'Retry-After': refusal.retry_after(wait_ms)} if wait_ms is not None else {}
             try:
-                await response.whole(e.status, e.problem(path), headers)
+                await response.respond(e.status, e.problem(path), headers)
             except StreamClosedError:
                 pass
         except StreamClosedError:
@@ -1338,13 +1338,13 @@
 async def write_reply(response: Any, reply: dict, headers: dict | None = None) -> None:
     """Write a replica's response unchanged:
     `await write_reply(response, {'status': 200, 'kind': '...', 'data': b''})`."""
-    await response.raw(
+    await response.respond_bytes(
         reply['status'], reply['data'], reply['kind'], {'X-Quillstall-Source': 'replica', **(headers or {})}
     )
 
 
 async def wait_either(first: Any, second: asyncio.Future) -> None:
-    """Return when either is done, and cancel neither: `await wait_either(decided, response.gone)`."""
+    """Return when either is done, and cancel neither: `await wait_either(decided, response.disconnected)`."""
     await asyncio.wait((first, second), return_when=asyncio.FIRST_COMPLETED)
 
 
--- a/src/quillstall/dataplane/stalls.py
+++ b/src/quillstall/dataplane/stalls.py
@@ -61,7 +61,7 @@
         self.longest_silence = timedelta(0)
 
     async def wait(self, receive: Callable[[timedelta], Awaitable[Answer]]) -> Answer:
-        """Return the result of `receive(limit)`, as in `await watch.wait(exchange.data)`. On a stall raise Fault
+        """Return the result of `receive(limit)`, as in `await watch.wait(exchange.read_data)`. On a stall raise Fault
         'slow' if the turn may resume; else report it once and wait on until the deadline."""
         start = self.clock.now()
         while True:
--- a/src/quillstall/network/httpclient.py
+++ b/src/quillstall/network/httpclient.py
@@ -19,11 +19,11 @@
 from quillstall.network.net import connect
 from quillstall.runtime.errors import Fault
 
-CONNECT_LIMIT = timedelta(milliseconds=400)
+CONNECT_TIMEOUT = timedelta(milliseconds=400)
 IDLE = timedelta(seconds=4)  # where a back end does not tell how long it keeps a connection
 KEPT_MOST = 8  # idle connections to one back end
 PARAMS = HTTP1ConnectionParameters(max_header_size=65536, max_body_size=64 * 1024 * 1024)
-AnswerTest = Callable[[int, HTTPHeaders], bool]
+ResponseTest = Callable[[int, HTTPHeaders], bool]
 
 
 def never(status: int, headers: HTTPHeaders) -> bool:
@@ -71,8 +71,8 @@
 
 
 class Exchange(HTTPMessageDelegate):
-    """One request under way: `status, headers = await exchange.head(span)`, then
-    `await exchange.data(span)` until it gives None.
+    """One request under way: `status, headers = await exchange.read_headers(span)`, then
+    `await exchange.read_data(span)` until it gives None.
 
     An answer is taken if it says that it is to this request (`matches`). One that does not say whose it
     is (`anonymous`) is taken only where no other request was sent on the connection before: on a kept
@@ -84,8 +84,8 @@
         client: 'HttpClient',
         place: tuple,
         stream: IOStream,
-        matches: AnswerTest,
-        anonymous: AnswerTest,
+        matches: ResponseTest,
+        anonymous: ResponseTest,
         first: bool,
     ):
         self.client = client
@@ -190,7 +190,7 @@
             self.fresh = None
 
     async def head(self, limit: timedelta) -> tuple[int, Any]:
-        """Status and head of the answer: `status, headers = await exchange.head(of_ms(500))`."""
+        """Status and head of the answer: `status, headers = await exchange.read_headers(of_ms(500))`."""
         if not self.headed and self.fault is None:
             await self.more(limit)
         if self.headed:
@@ -198,7 +198,7 @@
         raise self.fault or Fault('lost', self.place[0])
 
     async def data(self, limit: timedelta) -> bytes | None:
-        """What has come of the body since, or None at its end: `await exchange.data(of_ms(500))`."""
+        """What has come of the body since, or None at its end: `await exchange.read_data(of_ms(500))`."""
         while True:
             if self.chunks:
                 out = b''.join(self.chunks)
@@ -211,7 +211,7 @@
             await self.more(limit)
 
     def cut(self, fault: Fault | None = None) -> None:
-        """Break it off, unless it is whole: `exchange.cut()`."""
+        """Break it off, unless it is whole: `exchange.abort()`."""
         if not self.whole:
             self.fault = self.fault or fault or Fault('lost', 'cut off')
             self.stream.close()
@@ -254,7 +254,7 @@
         return None
 
     def tidy(self) -> None:
-        """Close what has rested too long: `client.tidy()`, now and then."""
+        """Close what has rested too long: `client.close_expired()`, now and then."""
         for place, row in list(self.kept.items()):
             left = []
             for kept in row:
@@ -275,10 +275,10 @@
         path: str,
         headers: HTTPHeaders,
         body: bytes,
-        matches: AnswerTest,
+        matches: ResponseTest,
         part: float = 0.8,
-        limit: timedelta = CONNECT_LIMIT,
-        anonymous: AnswerTest = never,
+        limit: timedelta = CONNECT_TIMEOUT,
+        anonymous: ResponseTest = never,
         before_write: Callable[[], None] = lambda: None,
     ) -> Exchange:
         """Send one request, once: `exchange = await client.open('127.0.0.1:9000', 'i-1', 'GET', '/', ...)`.
@@ -301,7 +301,7 @@
             stream = self.take(place, part) if part > 0 else None
             first = stream is None
             if stream is None:
-                stream = await connect(address, min(limit, CONNECT_LIMIT), self.source)
+                stream = await connect(address, min(limit, CONNECT_TIMEOUT), self.source)
                 self.count('back.connect')
             try:
                 before_write()
@@ -318,9 +318,9 @@
         return exchange
 
     def cut_all(self, fault: Fault) -> None:
-        """Break off all exchanges that are under way: `client.cut_all(Fault('late'))`."""
+        """Break off all exchanges that are under way: `client.abort_all(Fault('late'))`."""
         for exchange in list(self.exchanges):
-            exchange.cut(fault)
+            exchange.abort(fault)
 
     def close(self) -> None:
         """Close what is kept: `client.close()`."""
--- a/src/quillstall/network/httpserver.py
+++ b/src/quillstall/network/httpserver.py
@@ -16,13 +16,13 @@
 from tornado.httputil import HTTPHeaders, HTTPMessageDelegate, HTTPServerConnectionDelegate, ResponseStartLine
 from tornado.iostream import StreamClosedError
 
-from quillstall.network.net import split
+from quillstall.network.net import parse_address
 
 
-class Inbound(NamedTuple):
+class RawRequest(NamedTuple):
     """One request as it was read.
 
-    >>> Inbound('GET', '/a', HTTPHeaders({'Host': 'x'}), b'').headers['host']
+    >>> RawRequest('GET', '/a', HTTPHeaders({'Host': 'x'}), b'').headers['host']
     'x'
     """
 
@@ -45,12 +45,12 @@
     body: bytes
 
 
-class JsonOut:
-    """The way back for whole JSON answers, over an answer of bytes: `JsonOut(out)`."""
+class JsonResponse:
+    """The way back for whole JSON answers, over an answer of bytes: `JsonResponse(out)`."""
 
     def __init__(self, out: Any):
         self.out = out
-        self.gone = out.gone
+        self.gone = out.disconnected
 
     async def whole(self, status: int, body: Any, headers: dict | None = None) -> None:
         kind = 'application/problem+json' if status >= 400 else 'application/json'
@@ -63,7 +63,7 @@
         await self.out.whole(status, HTTPHeaders({'Content-Type': kind, **(headers or {})}), data)
 
 
-Handler = Callable[[Inbound, Any], Awaitable[None]]
+Handler = Callable[[RawRequest, Any], Awaitable[None]]
 
 
 class Answer(HTTPMessageDelegate):
@@ -89,7 +89,7 @@
 
     def finish(self) -> None:
         self.conn.set_close_callback(self.on_connection_close)
-        call = Inbound(self.start.method, self.start.path, self.headers, b''.join(self.chunks))
+        call = RawRequest(self.start.method, self.start.path, self.headers, b''.join(self.chunks))
         self.chunks = []
         self.listener.spawn(self.listener.one(call, self))
 
@@ -109,7 +109,7 @@
         )
 
     async def whole(self, status: int, headers: Any, body: bytes) -> None:
-        """A complete answer: `await out.whole(200, HTTPHeaders(), b'ok')`."""
+        """A complete answer: `await out.respond(200, HTTPHeaders(), b'ok')`."""
         heads = HTTPHeaders(headers)
         if status != 204 and status != 304:
             heads['Content-Length'] = str(len(body))
@@ -138,7 +138,7 @@
         self.conn.finish()
 
     def cut(self) -> None:
-        """Break the connection off, so that what was written does not look complete: `out.cut()`."""
+        """Break the connection off, so that what was written does not look complete: `out.abort()`."""
         if not self.over:
             self.over = True
             stream = self.conn.stream
@@ -184,7 +184,7 @@
 
     def listen(self, address: str) -> None:
         """Take connections: `listener.listen('127.0.0.1:8000')`."""
-        host, port = split(address)
+        host, port = parse_address(address)
         self.server.listen(port, host, backlog=1024)
 
     def start_request(self, server_conn: Any, request_conn: Any) -> Answer:
@@ -198,7 +198,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def one(self, call: Inbound, out: Answer) -> None:
+    async def one(self, call: RawRequest, out: Answer) -> None:
         self.busy += 1
         try:
             await self.handler(call, out)
@@ -209,12 +209,12 @@
         except Exception as e:  # one request must not take the process with it
             self.count(f'http.fault.{type(e).__name__}')
             self.violated('request_ended', path=call.path, cause=f'{type(e).__name__}: {e}')
-            out.cut()
+            out.abort()
             raise
         else:
-            if not out.over and not out.gone.done():
+            if not out.over and not out.disconnected.done():
                 self.violated('request_ended', path=call.path, cause='neither answered nor cut')
-                out.cut()
+                out.abort()
         finally:
             self.busy -= 1
 
--- a/src/quillstall/network/net.py
+++ b/src/quillstall/network/net.py
@@ -17,7 +17,7 @@
 BACKLOG = 128
 REDIAL = timedelta(milliseconds=200)  # an attempt to connect is joined by another after so long
 USER_TIMEOUT_MS = 1500  # what is sent and not confirmed for so long breaks the connection
-CONNECT_LIMIT = timedelta(seconds=2)
+CONNECT_TIMEOUT = timedelta(seconds=2)
 READ_BYTES = 64 * 1024  # taken from a connection at once, at most
 LENGTH = struct.Struct('>I')
 Handler = Callable[[dict], Awaitable[dict]]
@@ -37,10 +37,10 @@
         """Stop listening and drop all links."""
 
 
-def split(address: str) -> tuple[str, int]:
+def parse_address(address: str) -> tuple[str, int]:
     """The IP number and the port of an address.
 
-    >>> split('127.0.0.1:7000')
+    >>> parse_address('127.0.0.1:7000')
     ('127.0.0.1', 7000)
     """
     host, _, port = address.rpartition(':')
@@ -65,7 +65,7 @@
         if source:
             sock.bind((source, 0))
         async with asyncio.timeout(max(0.0, limit.total_seconds())):
-            await stream.connect(split(address))
+            await stream.connect(parse_address(address))
     except (OSError, StreamClosedError, TimeoutError) as e:
         stream.close()
         raise Fault('unreachable', f'{address}: {type(e).__name__} {e}') from e
@@ -75,20 +75,20 @@
     return stream
 
 
-def pack(call: int, message: dict) -> bytes:
+def encode_frame(call: int, message: dict) -> bytes:
     """One frame: its length, then the call's number and the message in CBOR.
 
-    >>> unpack(pack(3, {'k': 'hi'})[4:])
+    >>> decode_frame(encode_frame(3, {'k': 'hi'})[4:])
     (3, {'k': 'hi'})
     """
     body = cbor2.dumps([call, message])
     return LENGTH.pack(len(body)) + body
 
 
-def unpack(body: bytes) -> tuple[int, dict]:
+def decode_frame(body: bytes) -> tuple[int, dict]:
     """The call's number and the message of a frame's body; Fault 'garbled' if it is none.
 
-    >>> unpack(b'zzz')
+    >>> decode_frame(b'zzz')
     Traceback (most recent call last):
     quillstall.runtime.errors.Fault: garbled: not a frame of ours
     """
@@ -104,7 +104,7 @@
 class FrameCutter:
     """Cuts the bytes that a connection brings into frames.
 
-    >>> cutter, data = FrameCutter(), pack(1, {'k': 'a'}) + pack(2, {'k': 'b'})
+    >>> cutter, data = FrameCutter(), encode_frame(1, {'k': 'a'}) + encode_frame(2, {'k': 'b'})
     >>> list(cutter.take(data[:-1])), list(cutter.take(data[-1:]))
     ([(1, {'k': 'a'})], [(2, {'k': 'b'})])
     """
@@ -124,7 +124,7 @@
                 return
             body = bytes(self.left[LENGTH.size : end])
             del self.left[:end]
-            yield unpack(body)
+            yield decode_frame(body)
 
 
 async def dial_once(address: str, source: str | None) -> socket.socket:
@@ -135,7 +135,7 @@
         quick(sock)
         if source:
             sock.bind((source, 0))
-        await asyncio.get_running_loop().sock_connect(sock, split(address))
+        await asyncio.get_running_loop().sock_connect(sock, parse_address(address))
     except BaseException:
         sock.close()
         raise
@@ -205,7 +205,7 @@
     def send(self, call: int, message: dict) -> None:
         """Write one frame: `connection.send(1, {'k': 'hi'})`. On a closed connection nothing is written."""
         if not self.closed():
-            self.writer.write(pack(call, message))
+            self.writer.write(encode_frame(call, message))
 
     async def drain(self) -> None:
         """Wait while the other side reads too slowly."""
@@ -224,7 +224,7 @@
 
 
 async def answer(handler: Handler, message: dict) -> dict:
-    """What the handler returns, a Fault packed: `await answer(handler, {'k': 'hi'})`."""
+    """What the handler returns, a Fault packed: `await call_handler(handler, {'k': 'hi'})`."""
     try:
         return await handler(message)
     except Fault as e:
@@ -245,7 +245,7 @@
 
     async def listen(self, address: str) -> None:
         """Take connections at an address: `await listener.listen('127.0.0.1:7000')`."""
-        host, port = split(address)
+        host, port = parse_address(address)
         self.server = await asyncio.start_server(self.serve, host, port, backlog=BACKLOG)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -274,7 +274,7 @@
 
     async def one(self, connection: Connection, call: int, message: dict) -> None:
         """Answer one call."""
-        connection.send(call, await answer(self.handler, message))
+        connection.send(call, await call_handler(self.handler, message))
         await connection.drain()
 
     def close(self) -> None:
@@ -336,7 +336,7 @@
 
     async def open(self, address: str) -> Connection:
         """A new connection for a link to an address."""
-        return await Connection.open(address, CONNECT_LIMIT, self.source)
+        return await Connection.open(address, CONNECT_TIMEOUT, self.source)
 
     async def link(self, address: str) -> Link:
         """The link to an address; a new one where there is none that works."""
--- a/src/quillstall/network/packing.py
+++ b/src/quillstall/network/packing.py
@@ -24,12 +24,12 @@
     return cbor2.loads(zlib.decompress(data))
 
 
-def with_policy(news: dict) -> dict:
+def with_unpacked_policy(news: dict) -> dict:
     """News of the core with its policy as a value, however it came.
 
-    >>> with_policy({'generation': 2, 'policy_packed': packed({'classes': {}})})
+    >>> with_unpacked_policy({'generation': 2, 'policy_packed': packed({'classes': {}})})
     {'generation': 2, 'policy': {'classes': {}}}
-    >>> with_policy({'generation': 2, 'policy': 1})
+    >>> with_unpacked_policy({'generation': 2, 'policy': 1})
     {'generation': 2, 'policy': 1}
     """
     if PACKED_POLICY not in news:
--- a/src/quillstall/network/web.py
+++ b/src/quillstall/network/web.py
@@ -16,7 +16,7 @@
 from zope.interface import Interface, implementer
 
 from quillstall.network.httpserver import Call
-from quillstall.network.net import split
+from quillstall.network.net import parse_address
 from quillstall.runtime.errors import Fault
 
 BODY_MOST = 1024 * 1024
@@ -167,7 +167,7 @@
         return self.ready.pop(0)
 
     def cut(self) -> None:
-        """Break it off: `flow.cut()`."""
+        """Break it off: `flow.abort()`."""
         if not self.over:
             self.over = True
             self.client.cut(self.query)
@@ -275,7 +275,7 @@
 
     async def serve(self, address: str, handler: Handler) -> None:
         """Listen: `await web.serve('127.0.0.1:8000', handler)`."""
-        host, port = split(address)
+        host, port = parse_address(address)
         app = Application([('.*', Door, {'handler': handler})], log_function=lambda door: None)
         server = HTTPServer(app, max_body_size=64 * BODY_MOST, idle_connection_timeout=60)
         server.listen(port, host)
@@ -351,4 +351,4 @@
             else:
                 return status, lines[0] if len(lines) == 1 else lines or None, heads
     finally:
-        flow.cut()
+        flow.abort()
--- a/src/quillstall/runtime/daemon.py
+++ b/src/quillstall/runtime/daemon.py
@@ -10,7 +10,7 @@
 
 from logbook import StreamHandler
 
-from quillstall.network.net import TcpNet, split
+from quillstall.network.net import TcpNet, parse_address
 from quillstall.runtime import loop
 from quillstall.runtime.clock import SystemClock
 from quillstall.runtime.errors import Fault
@@ -24,7 +24,7 @@
     """The context of a real process: `context(startup)`."""
     clock = SystemClock()
     journal = Journal(startup['name'], clock)
-    source = split(startup['address'])[0] if 'address' in startup else None
+    source = parse_address(startup['address'])[0] if 'address' in startup else None
     disk = sqlite(startup['data']) if startup.get('data') else None
     return Ctx(startup, clock, TcpNet(journal.count, source), disk, web(startup), journal, random.Random())
 
--- a/src/quillstall/testbed/caller.py
+++ b/src/quillstall/testbed/caller.py
@@ -187,7 +187,7 @@
                     code = rest[0]
                     break
         finally:
-            web.cut()
+            web.abort()
         if status == 0:
             self.done(flow.name, f'no_answer.{code}', start, flow.deadline_ms)
             return None, '', 300
--- a/src/quillstall/testbed/fleet.py
+++ b/src/quillstall/testbed/fleet.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from quillstall.controlplane.main import ask
-from quillstall.network.net import split
+from quillstall.network.net import parse_address
 from quillstall.network.web import fetch
 from quillstall.runtime.daemon import context
 from quillstall.runtime.errors import Fault
@@ -75,7 +75,7 @@
         """One more process, of the role and zone of another and with its seeds, at a new IP number; its
         address: `fleet.add('core3', 'core0', '127.0.1.9')`."""
         old = self.startups[like]
-        s = {**old, 'name': name, **{k: f'{host}:{split(old[k])[1]}' for k in ('address', 'http')}}
+        s = {**old, 'name': name, **{k: f'{host}:{parse_address(old[k])[1]}' for k in ('address', 'http')}}
         self.startups[name] = s
         self.start(name)
         if s['role'] == 'core':
@@ -228,7 +228,7 @@
 
     def cut(self, a: str, b: str, both: bool = True) -> None:
         """Hold all that goes from process a to b: `fleet.cut('core0', 'core1')`."""
-        one, two = [split(self.startups[n]['address'])[0] for n in (a, b)]
+        one, two = [parse_address(self.startups[n]['address'])[0] for n in (a, b)]
         self.wires.cut(one, two)
         if both:
             self.wires.cut(two, one)
--- a/src/quillstall/testbed/hollow.py
+++ b/src/quillstall/testbed/hollow.py
@@ -10,7 +10,7 @@
 
 from quillstall.dataplane.admission.messages import News
 from quillstall.dataplane.node import Node
-from quillstall.network.net import CONNECT_LIMIT, Connection, TcpNet, pack, split
+from quillstall.network.net import CONNECT_TIMEOUT, Connection, TcpNet, encode_frame, parse_address
 from quillstall.runtime.clock import SystemClock
 from quillstall.runtime.errors import Fault
 from quillstall.runtime.journal import Journal
@@ -31,7 +31,7 @@
 
     def send(self, call: int, message: dict) -> None:
         super().send(call, message)
-        self.meter[1] += len(pack(call, message))
+        self.meter[1] += len(encode_frame(call, message))
 
 
 class Book:
@@ -67,7 +67,7 @@
         self.book = book
 
     async def open(self, address: str) -> Connection:
-        connection = await MeteredConnection.open(address, CONNECT_LIMIT, self.source)
+        connection = await MeteredConnection.open(address, CONNECT_TIMEOUT, self.source)
         connection.meter = self.book.bytes[self.roles.get(address, 'peer')]
         return connection
 
@@ -186,7 +186,7 @@
         """Start one hollow node: `host.start({'name': 'h0', 'address': '127.0.100.1:1', 'zone': 'z0'})`."""
         s = {**spec, 'http': spec['address'], 'seeds': self.startup['seeds']}
         clock = SystemClock()
-        net = MeteredNet(split(s['address'])[0], s['seeds'], self.startup['stores'], self.book)
+        net = MeteredNet(parse_address(s['address'])[0], s['seeds'], self.startup['stores'], self.book)
         ctx = Ctx(s, clock, net, None, None, Journal(s['name'], clock, 20), random.Random())
         self.nodes[s['name']] = node = Hollow(ctx, self.book)
         self.work[s['name']] = asyncio.ensure_future(node.run())
--- a/src/quillstall/testbed/replica.py
+++ b/src/quillstall/testbed/replica.py
@@ -108,25 +108,25 @@
         path = call.path.partition('?')[0]
         if path == '/report':
             self.counts['probes'] += 1
-            await out.whole(
+            await out.respond(
                 200, {'queued': len(self.line), 'active': self.active, 'kv_used': sum(self.warm.values())}
             )
             return
         if path == '/control':
             body = json.loads(call.body)
             self.mode, self.share = body['mode'], body.get('share', 1.0)
-            await out.whole(200, {'ok': True})
+            await out.respond(200, {'ok': True})
             return
         if path == '/log':
-            await out.whole(200, {'runs': self.runs, 'counts': dict(self.counts), 'peak': self.peak})
+            await out.respond(200, {'runs': self.runs, 'counts': dict(self.counts), 'peak': self.peak})
             return
         mode = self.mode if self.ctx.dice.random() < self.share else 'well'
         if mode == 'refuse':
-            await out.whole(503, {'code': 'replica_full'})
+            await out.respond(503, {'code': 'replica_full'})
             return
         self.counts['asked'] += 1
         self.last_new = self.ctx.clock.now().isoformat()
-        if not await self.slot(out.gone):
+        if not await self.slot(out.disconnected):
             return
         try:
             if path == '/turn':
@@ -165,28 +165,28 @@
         need = (timedelta(seconds=fresh / self.prefill) + self.step * min(body['max_tokens'], 12)) * load
         self.record(tag, '/turn', call, ms(need))
         if mode == 'stall':
-            await out.gone
+            await out.disconnected
             self.counts['aborted'] += 1
             return
-        if await self.rest(timedelta(seconds=fresh / self.prefill) * load * slow, out.gone):
+        if await self.rest(timedelta(seconds=fresh / self.prefill) * load * slow, out.disconnected):
             self.counts['aborted'] += 1
             return
         self.counts['prefilled'] += body['prompt_tokens']
         count = min(body['max_tokens'], 12)
         await out.head(200, {})
         for n in range(count):
-            if await self.rest(self.step * load * slow, out.gone):
+            if await self.rest(self.step * load * slow, out.disconnected):
                 self.counts['aborted'] += 1
                 return
             if mode == 'cut' and n == count // 2:
-                out.cut()
+                out.abort()
                 return
-            await out.line({'piece': n, 'text': f'{tag}.{mem}.{n} ', 'tokens': 1})
+            await out.send_line({'piece': n, 'text': f'{tag}.{mem}.{n} ', 'tokens': 1})
             self.counts['tokens'] += 1
         if mode == 'lose':
-            out.cut()
+            out.abort()
             return
-        await out.line(
+        await out.send_line(
             {'done': True, 'usage': {'prompt_tokens': body['prompt_tokens'], 'completion_tokens': count}}
         )
         await out.end()
@@ -197,14 +197,14 @@
         key = call.headers.get('idempotency-key', '')
         self.record(key, path, call)
         if mode == 'stall':
-            await out.gone
+            await out.disconnected
             return
         await self.ctx.clock.sleep(self.work * (10 if mode == 'slow' else 1))
         self.counts['done'] += 1
         if mode in ('lose', 'cut'):
-            out.cut()
+            out.abort()
             return
-        await out.whole(200, {'path': path, 'echo': digest(call.body.decode()), 'key': key})
+        await out.respond(200, {'path': path, 'echo': digest(call.body.decode()), 'key': key})
 
 
 async def run(ctx: Ctx, ready: Any = None) -> None:
--- a/src/quillstall/testbed/scale.py
+++ b/src/quillstall/testbed/scale.py
@@ -409,7 +409,7 @@
                 elif kind == 'end':
                     return
         finally:
-            flow.cut()
+            flow.abort()
 
     async def traffic(self, seconds: float) -> int:
         """Turns at the setting's rate for a while; how many were sent: `await scale.traffic(5)`."""
--- a/src/quillstall/testbed/sim.py
+++ b/src/quillstall/testbed/sim.py
@@ -18,8 +18,8 @@
 from tornado.queues import Queue
 from zope.interface import implementer
 
-from quillstall.network.net import INet, answer
-from quillstall.network.web import Call, IWeb
+from quillstall.network.net import INet, call_handler
+from quillstall.network.web import JsonRequest, IWeb
 from quillstall.runtime.clock import IClock
 from quillstall.runtime.disk import CorruptFile, IDisk, Put
 from quillstall.runtime.errors import Fault
@@ -261,7 +261,7 @@
             asyncio.ensure_future(self.one(handler, body, back))
 
     async def one(self, handler: Callable, body: bytes, back: Callable) -> None:
-        ret = await answer(handler, cbor2.loads(body))
+        ret = await call_handler(handler, cbor2.loads(body))
         await self.machine.gate()
         back(cbor2.dumps(ret))
 
@@ -376,7 +376,7 @@
         self.there = there
         self.here = here
         self.queue = queue
-        self.gone = asyncio.get_running_loop().create_future()
+        self.disconnected = asyncio.get_running_loop().create_future()
         self.ended = asyncio.get_running_loop().create_future()
         self.over = False
 
@@ -387,36 +387,36 @@
 
     async def send(self, *item: Any) -> None:
         await self.there.gate()
-        if self.over or self.gone.done():
+        if self.over or self.disconnected.done():
             raise StreamClosedError()
         if await self.world.travel(self.there, self.here):
             self.queue.put_nowait(item)
 
-    async def whole(self, status: int, body: Any, headers: dict | None = None) -> None:
-        if self.gone.done():
+    async def respond(self, status: int, body: Any, headers: dict | None = None) -> None:
+        if self.disconnected.done():
             return
         heads = {k.lower(): str(v) for k, v in (headers or {}).items()}
         await self.send('head', status, heads)
         await self.send('line', json.loads(json.dumps(body)))
         await self.end()
 
-    async def raw(self, status: int, data: bytes, kind: str, headers: dict | None = None) -> None:
-        await self.whole(
+    async def respond_bytes(self, status: int, data: bytes, kind: str, headers: dict | None = None) -> None:
+        await self.respond(
             status, json.loads(data) if data else None, {'content-type': kind, **(headers or {})}
         )
 
     async def head(self, status: int, headers: dict | None = None) -> None:
         await self.send('head', status, {k.lower(): str(v) for k, v in (headers or {}).items()})
 
-    async def line(self, body: Any) -> None:
+    async def send_line(self, body: Any) -> None:
         await self.send('line', json.loads(json.dumps(body)))
 
     async def end(self) -> None:
-        if not self.gone.done() and not self.over:
+        if not self.disconnected.done() and not self.over:
             await self.send('end', None)
             self.close()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         self.close()
         self.queue.put_nowait(('end', 'lost'))
 
@@ -446,18 +446,18 @@
         await self.me.gate()
         if item[0] == 'end':
             if item[1] == 'slow':
-                self.cut()
+                self.abort()
             self.over = True
         if item[0] == 'line' and self.raw:
             return 'data', json.dumps(item[1]).encode() + b'\n'
         return item
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         if self.over:
             return
         self.over = True
-        if self.out and not self.out.gone.done():
-            self.out.gone.set_result(None)
+        if self.out and not self.out.disconnected.done():
+            self.out.disconnected.set_result(None)
 
 
 @implementer(IWeb)
@@ -479,7 +479,7 @@
             await self.machine.gate()
             asyncio.ensure_future(self.one(handler, call, out))
 
-    async def one(self, handler: Callable, call: Call, out: SimOut) -> None:
+    async def one(self, handler: Callable, call: JsonRequest, out: SimOut) -> None:
         try:
             await handler(call, out)
         except StreamClosedError:
@@ -493,17 +493,17 @@
         body: Any = None,
         headers: dict | None = None,
         limit: timedelta = timedelta(seconds=10),
-        once: bool = False,
+        at_most_once: bool = False,
         raw: bool = False,
     ) -> SimFlow:
         flow = SimFlow(self.world, self.machine, limit)
         flow.raw = raw
         data = b'' if body is None else body if isinstance(body, bytes) else json.dumps(body).encode()
         heads = {k.lower(): str(v) for k, v in (headers or {}).items()}
-        flow.task = asyncio.ensure_future(self.way(flow, address, Call(method, path, heads, data)))
+        flow.task = asyncio.ensure_future(self.way(flow, address, JsonRequest(method, path, heads, data)))
         return flow
 
-    async def way(self, flow: SimFlow, address: str, call: Call) -> None:
+    async def way(self, flow: SimFlow, address: str, call: JsonRequest) -> None:
         world, me = self.world, self.machine
         await me.gate()
         entry = world.webs.get(address)
@@ -521,10 +521,10 @@
             return
         flow.out = SimOut(world, there, me, flow.queue)
         if flow.over:
-            flow.out.gone.set_result(None)
+            flow.out.disconnected.set_result(None)
         life = there.life
         world.webs[address][1]((call, flow.out))
-        await asyncio.wait((flow.out.gone, flow.out.ended, there.end), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait((flow.out.disconnected, flow.out.ended, there.end), return_when=asyncio.FIRST_COMPLETED)
         if there.life != life:
             flow.queue.put_nowait(('end', 'lost'))
 
--- a/src/quillstall/testbed/soak/clients.py
+++ b/src/quillstall/testbed/soak/clients.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from quillstall.network.net import split
+from quillstall.network.net import parse_address
 from quillstall.testbed.soak.records import (
     EVENT_TOKENS,
     TURN_TOKENS_MOST,
@@ -174,7 +174,7 @@
                 return connection
             connection.close()
         async with asyncio.timeout(CONNECT_S):
-            return Connection(node, *await asyncio.open_connection(*split(node)))
+            return Connection(node, *await asyncio.open_connection(*parse_address(node)))
 
     async def try_once(self, sent: Sent, headers: dict[str, str], body: bytes) -> Answer:
         """Send one try and read what comes of it."""
@@ -243,7 +243,7 @@
         )
         try:
             async with asyncio.timeout(CONNECT_S):
-                _, writer = await asyncio.open_connection(*split(node))
+                _, writer = await asyncio.open_connection(*parse_address(node))
             writer.write(data)
             await asyncio.sleep(self.dice.uniform(0, 1))
             writer.close()
--- a/src/quillstall/testbed/soak/fleet.py
+++ b/src/quillstall/testbed/soak/fleet.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 from typing import Any
 
-from quillstall.network.net import split
+from quillstall.network.net import parse_address
 from quillstall.network.web import fetch
 from quillstall.runtime.errors import Fault
 from quillstall.testbed.deploy import Deploy
@@ -76,7 +76,7 @@
         """Whether a routing node says that it is ready."""
         try:
             async with asyncio.timeout(1):
-                reader, writer = await asyncio.open_connection(*split(self.startups[name]['ready']))
+                reader, writer = await asyncio.open_connection(*parse_address(self.startups[name]['ready']))
                 writer.write(b'GET /readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n')
                 line = await reader.readline()
                 writer.close()
@@ -137,7 +137,7 @@
             others = [other for other in self.startups if other != name]
             await self.cut_for({(name, other) for other in others}, trouble.span_s)
         elif trouble.kind is Kind.LOSE:
-            host = split(self.startups[name]['address'])[0]
+            host = parse_address(self.startups[name]['address'])[0]
             self.wires.breaks[host] = BREAK_SHARE
             await asyncio.sleep(trouble.span_s)
             del self.wires.breaks[host]
@@ -158,7 +158,7 @@
 
     async def cut_for(self, pairs: set[tuple[str, str]], span_s: float) -> None:
         """Hold all that goes between these pairs of processes for a while."""
-        host = {name: split(startup['address'])[0] for name, startup in self.startups.items()}
+        host = {name: parse_address(startup['address'])[0] for name, startup in self.startups.items()}
         ways = {(host[a], host[b]) for a, b in pairs} | {(host[b], host[a]) for a, b in pairs}
         new = ways - self.wires.cuts
         self.wires.cuts |= new
--- a/src/quillstall/testbed/soak/member.py
+++ b/src/quillstall/testbed/soak/member.py
@@ -38,12 +38,12 @@
             LIST_LIMIT,
         )
         try:
-            await exchange.head(LIST_LIMIT)
+            await exchange.read_headers(LIST_LIMIT)
             data = b''
-            while (more := await exchange.data(LIST_LIMIT)) is not None:
+            while (more := await exchange.read_data(LIST_LIMIT)) is not None:
                 data += more
         finally:
-            exchange.cut()
+            exchange.abort()
         try:
             pools = json.loads(data)
         except ValueError as e:
--- a/src/quillstall/testbed/soak/replicas.py
+++ b/src/quillstall/testbed/soak/replicas.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from typing import Any
 
-from quillstall.network.net import split
+from quillstall.network.net import parse_address
 from quillstall.testbed.soak.records import Records, Run
 
 EVENTS_LEAST = 3
@@ -71,7 +71,7 @@
 
     async def open(self) -> None:
         """Listen: `await replica.open()`."""
-        host, port = split(self.address)
+        host, port = parse_address(self.address)
         self.server = await asyncio.start_server(self.serve, host, port)
 
     def close(self) -> None:
--- a/src/quillstall/testbed/soak/run.py
+++ b/src/quillstall/testbed/soak/run.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 from pathlib import Path
 
-from quillstall.network.net import split
+from quillstall.network.net import parse_address
 from quillstall.runtime.journal import VIOLATED
 from quillstall.testbed.host import HostDisk
 from quillstall.testbed.loop import finish
@@ -109,7 +109,7 @@
             for replica in self.replicas:
                 await replica.open()
             self.list_server = await asyncio.start_server(
-                self.serve_list, *split(deployment.list_address(self.port))
+                self.serve_list, *parse_address(deployment.list_address(self.port))
             )
             await fleet.open()
             host_disk = HostDisk(self.report.folder)
--- a/src/quillstall/testbed/wires.py
+++ b/src/quillstall/testbed/wires.py
@@ -8,7 +8,7 @@
 import random
 from typing import Any
 
-from quillstall.network.net import split
+from quillstall.network.net import parse_address
 
 
 def behind(address: str) -> str:
@@ -17,7 +17,7 @@
     >>> behind('127.0.1.1:7000')
     '127.0.1.1:7002'
     """
-    host, port = split(address)
+    host, port = parse_address(address)
     return f'{host}:{port + 2}'
 
 
@@ -36,14 +36,14 @@
         """Serve these addresses: `await wires.open(['127.0.1.1:7000'])`."""
         for address in addresses:
             self.servers.append(
-                await asyncio.start_server(lambda r, w, at=address: self.link(r, w, at), *split(address))
+                await asyncio.start_server(lambda r, w, at=address: self.link(r, w, at), *parse_address(address))
             )
 
     async def link(self, reader: Any, writer: Any, address: str) -> None:
         """One link, until either side ends it."""
-        here, there = writer.get_extra_info('peername')[0], split(address)[0]
+        here, there = writer.get_extra_info('peername')[0], parse_address(address)[0]
         try:
-            back_reader, back_writer = await asyncio.open_connection(*split(behind(address)))
+            back_reader, back_writer = await asyncio.open_connection(*parse_address(behind(address)))
         except OSError:
             writer.close()
             return
