--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -13,7 +13,7 @@
 
 from behave import given, then, when
 
-from quillstall.network.net import MAGIC, TcpNet, encode_frame, decode_frame
+from quillstall.network.net import MAGIC, TcpNet, decode_frame, encode_frame
 from quillstall.network.web import CurlWeb, fetch
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.disk import Put, SqliteDisk
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -11,7 +11,7 @@
 from standin import wait_until
 
 from quillstall.controlplane import store
-from quillstall.network.net import MAGIC, TcpNet, encode_frame, decode_frame
+from quillstall.network.net import MAGIC, TcpNet, decode_frame, encode_frame
 from quillstall.runtime.clock import of_ms
 from quillstall.runtime.effect import Return, Told
 from quillstall.runtime.errors import Fault
--- a/src/quillstall/dataplane/gateway.py
+++ b/src/quillstall/dataplane/gateway.py
@@ -26,8 +26,8 @@
 from quillstall.dataplane.routetable import RouteTable
 from quillstall.dataplane.stalls import StallWatch, stall_limit, usual_silence
 from quillstall.dataplane.turn_cache import CachedTurn, TurnCache
-from quillstall.network.httpclient import ResponseTest, Exchange, HttpClient
-from quillstall.network.httpserver import JsonRequest, RawRequest, JsonResponse, Listener
+from quillstall.network.httpclient import Exchange, HttpClient, ResponseTest
+from quillstall.network.httpserver import JsonRequest, JsonResponse, Listener, RawRequest
 from quillstall.network.net import connect, parse_address
 from quillstall.runtime.clock import ms, of_ms
 from quillstall.runtime.errors import Fault
@@ -414,10 +414,10 @@
         Raises Fault 'replica_failed' for a status that would promise this without such a statement.
         """
         if exchange.status == 421 or self.dialect.not_run in exchange.headers:
-            text = f'{exchange.place[1]} rejected the request: {exchange.status}'
+            text = f'{exchange.endpoint[1]} rejected the request: {exchange.status}'
             raise Fault('unreachable', text, more={'full': True})
         if exchange.status in (408, 429, 503):
-            raise Fault('replica_failed', f'{exchange.place[1]} answered {exchange.status}')
+            raise Fault('replica_failed', f'{exchange.endpoint[1]} answered {exchange.status}')
 
     def final_fault(self, fault: Fault, may_have_run: bool, deadline: datetime) -> Fault:
         """Return the fault that the caller gets: no refusal once an attempt may have run."""
@@ -453,7 +453,9 @@
         if fault.code == 'gone':
             raise fault
         self.report_health(replica, fault)
-        response.failed_attempts.append(Attempt(replica, ms(self.ctx.clock.now() - start), fault.code, fault.text))
+        response.failed_attempts.append(
+            Attempt(replica, ms(self.ctx.clock.now() - start), fault.code, fault.text)
+        )
         if fault.code in ('unreachable', 'hopeless'):
             return False
         response.may_have_run = True
--- a/src/quillstall/network/__init__.py
+++ b/src/quillstall/network/__init__.py
@@ -1,1 +1,1 @@
-"""Network: messages between our processes, HTTP servers and clients, and the platform's list of replicas."""
+"""Messages between processes, HTTP servers and clients, and the list of replicas that the platform provides."""
--- a/src/quillstall/network/httpclient.py
+++ b/src/quillstall/network/httpclient.py
@@ -1,8 +1,8 @@
-"""Httpclient: HTTP/1.1 to back ends, by tornado's connection, with the say over which connection is used.
+"""An HTTP/1.1 client for replicas that sends each request at most once, over tornado's connections.
 
-Work that may not run twice needs that say: a client that sends a request again by itself when a kept
-connection turns out dead would run it twice. Here a request is written once, on a connection that was
-looked at just before; whatever happens then is told, never repaired in silence.
+A client that resends a request by itself when a pooled connection turns out to be closed would run an
+operation twice. This one checks a pooled connection just before the request is written, writes the request
+once, and reports every failure to the caller.
 """
 
 import asyncio
@@ -20,19 +20,19 @@
 from quillstall.runtime.errors import Fault
 
 CONNECT_TIMEOUT = timedelta(milliseconds=400)
-IDLE = timedelta(seconds=4)  # where a back end does not tell how long it keeps a connection
-KEPT_MOST = 8  # idle connections to one back end
-PARAMS = HTTP1ConnectionParameters(max_header_size=65536, max_body_size=64 * 1024 * 1024)
+DEFAULT_IDLE_TIMEOUT = timedelta(seconds=4)  # where a server's Keep-Alive header names none
+MAX_IDLE_CONNECTIONS = 8  # to one endpoint
+CONNECTION_PARAMETERS = HTTP1ConnectionParameters(max_header_size=65536, max_body_size=64 * 1024 * 1024)
 ResponseTest = Callable[[int, HTTPHeaders], bool]
 
 
 def never(status: int, headers: HTTPHeaders) -> bool:
-    """The answer test that no answer passes: `never(200, HTTPHeaders())`."""
+    """Return False for every response: `never(200, HTTPHeaders())`."""
     return False
 
 
-def quiet(stream: IOStream) -> bool:
-    """Whether a kept connection is as it was left: open, and nothing has come on it unasked."""
+def is_reusable(stream: IOStream) -> bool:
+    """Return whether an idle connection is open and has received nothing since its last response."""
     if stream.closed() or stream._read_buffer_size:
         return False
     try:
@@ -41,275 +41,281 @@
         return True
     except OSError:
         return False
-    return False  # an end, or bytes that belong to no request
+    return False  # end of file, or bytes that belong to no request
 
 
 def begin_request(
     stream: IOStream, start_line: RequestStartLine, headers: HTTPHeaders, body: bytes
 ) -> HTTP1Connection | None:
-    """Write a request to a connection; None if the connection was closed before the system took a byte.
+    """Write a request; return None if the connection closed before the kernel took a byte of it.
 
     Only then may the request be written to another connection: `begin_request(stream, line, headers, b'')`.
     """
     written_before = stream._total_write_done_index
     stream.set_nodelay(True)
-    conn = HTTP1Connection(stream, True, PARAMS)
+    conn = HTTP1Connection(stream, True, CONNECTION_PARAMETERS)
     written = conn.write_headers(start_line, headers, body or None)
     written.add_done_callback(lambda f: f.cancelled() or f.exception())
     conn.finish()
-    nothing_taken = stream._total_write_done_index == written_before
-    return None if stream.closed() and nothing_taken else conn
+    nothing_written = stream._total_write_done_index == written_before
+    return None if stream.closed() and nothing_written else conn
 
 
-class Kept:
-    """One kept connection."""
+class IdleConnection:
+    """A pooled connection, with the time since when it is idle and its idle timeout in seconds."""
 
-    def __init__(self, stream: IOStream, since: float, idle: float):
+    def __init__(self, stream: IOStream, idle_since: float, idle_timeout: float):
         self.stream = stream
-        self.since = since
-        self.idle = idle
+        self.idle_since = idle_since
+        self.idle_timeout = idle_timeout
 
 
 class Exchange(HTTPMessageDelegate):
-    """One request under way: `status, headers = await exchange.read_headers(span)`, then
-    `await exchange.read_data(span)` until it gives None.
+    """A request that is in progress: `status, headers = await exchange.read_headers(timeout)`, then
+    `await exchange.read_data(timeout)` until it returns None.
 
-    An answer is taken if it says that it is to this request (`matches`). One that does not say whose it
-    is (`anonymous`) is taken only where no other request was sent on the connection before: on a kept
-    connection it may be the surplus answer of an earlier request, and is skipped like one.
+    A response is accepted if it identifies itself as the response to this request (`matches`). One that does
+    not say which request it belongs to (`accept_unidentified`) is accepted only on a connection that carried
+    no request before: on a pooled connection it may be an extra response to an earlier request. All others
+    are skipped.
     """
 
     def __init__(
         self,
         client: 'HttpClient',
-        place: tuple,
+        endpoint: tuple,
         stream: IOStream,
         matches: ResponseTest,
-        anonymous: ResponseTest,
-        first: bool,
+        accept_unidentified: ResponseTest,
+        first_on_connection: bool,
     ):
         self.client = client
-        self.place = place
+        self.endpoint = endpoint
         self.stream = stream
         self.matches = matches
-        self.anonymous = anonymous
-        self.first = first  # whether this is the first request on its connection
-        self.tied = False  # whether the answer says that it is to this request
+        self.accept_unidentified = accept_unidentified
+        self.first_on_connection = first_on_connection
+        self.identified = False  # whether the response identifies itself as the response to this request
         self.status = 0
         self.headers: Any = None
         self.chunks: deque = deque()
-        self.skip = False
-        self.headed = False
-        self.whole = False
+        self.skipping = False
+        self.has_headers = False
+        self.complete = False
         self.fault: Fault | None = None
-        self.fresh: asyncio.Future | None = None
+        self.progress: asyncio.Future | None = None
         self.task: Any = None
 
-    # what tornado's connection tells
+    # callbacks of tornado's HTTP1Connection
 
     def headers_received(self, start_line: Any, headers: Any) -> None:
         if 100 <= start_line.code < 200:
             return
-        self.tied = self.matches(start_line.code, headers)
-        if not self.tied and not (self.first and self.anonymous(start_line.code, headers)):
-            self.skip = True  # a surplus answer in the place of ours
+        self.identified = self.matches(start_line.code, headers)
+        if not self.identified and not (
+            self.first_on_connection and self.accept_unidentified(start_line.code, headers)
+        ):
+            self.skipping = True  # an extra response to an earlier request
             return
-        self.status, self.headers, self.headed = start_line.code, headers, True
-        self.wake()
+        self.status, self.headers, self.has_headers = start_line.code, headers, True
+        self.notify()
 
     def data_received(self, chunk: bytes) -> None:
-        if not self.skip:
+        if not self.skipping:
             self.chunks.append(chunk)
-            self.wake()
+            self.notify()
 
     def finish(self) -> None:
-        if not self.skip and self.headed:
-            self.whole = not self.endless() or self.ended_cleanly()
+        if not self.skipping and self.has_headers:
+            self.complete = not self.ends_with_connection() or self.closed_by_server()
 
     def on_connection_close(self) -> None:
         pass
 
-    # the task that reads
+    # the task that reads the response
 
     async def read(self, conn: HTTP1Connection) -> None:
         try:
             while True:
                 await conn.read_response(self)
-                if not self.skip or self.stream.closed():
+                if not self.skipping or self.stream.closed():
                     break
                 self.client.count('back.surplus')
-                self.skip = False
-                conn = HTTP1Connection(self.stream, True, PARAMS)
+                self.skipping = False
+                conn = HTTP1Connection(self.stream, True, CONNECTION_PARAMETERS)
                 conn.finish()
         except (StreamClosedError, HTTPInputError, OSError, ValueError) as e:
-            self.fault = self.fault or Fault('lost', f'{self.place[0]}: {type(e).__name__}')
+            self.fault = self.fault or Fault('lost', f'{self.endpoint[0]}: {type(e).__name__}')
         except asyncio.CancelledError:
             self.fault = self.fault or Fault('lost', 'cut off')
             raise
         finally:
-            if self.whole:
-                self.keep()
+            if self.complete:
+                self.release_connection()
             else:
-                self.fault = self.fault or Fault('lost', f'{self.place[0]}: the connection broke')
+                self.fault = self.fault or Fault('lost', f'{self.endpoint[0]}: the connection broke')
                 self.stream.close()
             self.client.exchanges.discard(self)
-            self.wake()
+            self.notify()
 
-    def endless(self) -> bool:
-        """Whether the body's end is told by nothing but the end of the connection."""
+    def ends_with_connection(self) -> bool:
+        """Return whether only the end of the connection marks the end of the body."""
         return (
             self.status not in (204, 304)
             and 'Content-Length' not in self.headers
             and 'Transfer-Encoding' not in self.headers
         )
 
-    def ended_cleanly(self) -> bool:
-        """Whether the back end has ended the connection by itself, without a reset."""
+    def closed_by_server(self) -> bool:
+        """Return whether the server closed the connection, without a reset."""
         return self.stream.closed() and self.stream.error is None and self.fault is None
 
-    def keep(self) -> None:
+    def release_connection(self) -> None:
+        """Return the connection to the pool, or close it if it can't be reused."""
         closing = self.headers.get('Connection', '').lower() == 'close'
-        if closing or not self.tied or not quiet(self.stream):
+        if closing or not self.identified or not is_reusable(self.stream):
             self.stream.close()
             return
-        self.client.keep(self.place, self.stream, self.headers.get('Keep-Alive'))
+        self.client.release(self.endpoint, self.stream, self.headers.get('Keep-Alive'))
 
-    def wake(self) -> None:
-        if self.fresh is not None and not self.fresh.done():
-            self.fresh.set_result(None)
+    def notify(self) -> None:
+        if self.progress is not None and not self.progress.done():
+            self.progress.set_result(None)
 
-    async def more(self, limit: timedelta) -> None:
-        """Wait until something has come: Fault 'slow' if nothing does in time."""
-        self.fresh = asyncio.get_running_loop().create_future()
+    async def wait_for_progress(self, timeout: timedelta) -> None:
+        """Wait for headers, data, the end or a fault. Raises Fault 'slow' if nothing comes in time."""
+        self.progress = asyncio.get_running_loop().create_future()
         try:
-            async with asyncio.timeout(max(0.0, limit.total_seconds())):
-                await self.fresh
+            async with asyncio.timeout(max(0.0, timeout.total_seconds())):
+                await self.progress
         except TimeoutError as e:
-            raise Fault('slow', f'{self.place[0]} is silent') from e
+            raise Fault('slow', f'{self.endpoint[0]} is silent') from e
         finally:
-            self.fresh = None
+            self.progress = None
 
-    async def head(self, limit: timedelta) -> tuple[int, Any]:
-        """Status and head of the answer: `status, headers = await exchange.read_headers(of_ms(500))`."""
-        if not self.headed and self.fault is None:
-            await self.more(limit)
-        if self.headed:
+    async def read_headers(self, timeout: timedelta) -> tuple[int, Any]:
+        """Return the status and headers: `status, headers = await exchange.read_headers(of_ms(500))`."""
+        if not self.has_headers and self.fault is None:
+            await self.wait_for_progress(timeout)
+        if self.has_headers:
             return self.status, self.headers
-        raise self.fault or Fault('lost', self.place[0])
+        raise self.fault or Fault('lost', self.endpoint[0])
 
-    async def data(self, limit: timedelta) -> bytes | None:
-        """What has come of the body since, or None at its end: `await exchange.read_data(of_ms(500))`."""
+    async def read_data(self, timeout: timedelta) -> bytes | None:
+        """Return more of the body, or None at its end: `await exchange.read_data(of_ms(500))`."""
         while True:
             if self.chunks:
-                out = b''.join(self.chunks)
+                data = b''.join(self.chunks)
                 self.chunks.clear()
-                return out
-            if self.whole:
+                return data
+            if self.complete:
                 return None
             if self.fault is not None:
                 raise self.fault
-            await self.more(limit)
+            await self.wait_for_progress(timeout)
 
-    def cut(self, fault: Fault | None = None) -> None:
-        """Break it off, unless it is whole: `exchange.abort()`."""
-        if not self.whole:
+    def abort(self, fault: Fault | None = None) -> None:
+        """Close the connection unless the response is complete: `exchange.abort()`."""
+        if not self.complete:
             self.fault = self.fault or fault or Fault('lost', 'cut off')
             self.stream.close()
-            self.wake()
+            self.notify()
 
 
 class HttpClient:
-    """Connections to back ends, kept by address and the life that lives there."""
+    """A client with a pool of idle connections by endpoint: an address and the id of the server at it."""
 
     def __init__(self, count: Callable[[str], None], source: str | None = None):
         self.count = count
         self.source = source
-        self.kept: dict[tuple, list[Kept]] = {}
+        self.idle_connections: dict[tuple, list[IdleConnection]] = {}
         self.tasks: set = set()
-        self.exchanges: set[Exchange] = set()  # those whose answers have not come whole yet
+        self.exchanges: set[Exchange] = set()  # those whose responses are not complete yet
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    def keep(self, place: tuple, stream: IOStream, told: str | None) -> None:
-        """Keep a connection for as long as the back end says: `client.keep(place, stream, 'timeout=5')`."""
-        span = IDLE.total_seconds()
-        for item in (told or '').replace(';', ',').split(','):
+    def release(self, endpoint: tuple, stream: IOStream, keep_alive: str | None) -> None:
+        """Return a connection to the pool, with the timeout of a Keep-Alive header such as 'timeout=5'."""
+        idle_timeout = DEFAULT_IDLE_TIMEOUT.total_seconds()
+        for item in (keep_alive or '').replace(';', ',').split(','):
             name, _, value = item.strip().partition('=')
             if name.lower() == 'timeout' and value.strip().isdigit():
-                span = float(value)
-        row = self.kept.setdefault(place, [])
-        row.append(Kept(stream, self.now(), span))
-        if len(row) > KEPT_MOST:
-            row.pop(0).stream.close()
-
-    def take(self, place: tuple, part: float) -> IOStream | None:
-        """A kept connection that has not rested for more than `part` of the time that it is kept."""
-        row = self.kept.get(place, [])
-        while row:
-            kept = row.pop()
-            if self.now() - kept.since < kept.idle * part and quiet(kept.stream):
-                return kept.stream
-            kept.stream.close()
+                idle_timeout = float(value)
+        connections = self.idle_connections.setdefault(endpoint, [])
+        connections.append(IdleConnection(stream, self.now(), idle_timeout))
+        if len(connections) > MAX_IDLE_CONNECTIONS:
+            connections.pop(0).stream.close()
+
+    def acquire(self, endpoint: tuple, max_idle_fraction: float) -> IOStream | None:
+        """Return a reusable connection that was idle for less than this fraction of its timeout, if any."""
+        connections = self.idle_connections.get(endpoint, [])
+        while connections:
+            idle = connections.pop()
+            if self.now() - idle.idle_since < idle.idle_timeout * max_idle_fraction and is_reusable(
+                idle.stream
+            ):
+                return idle.stream
+            idle.stream.close()
         return None
 
-    def tidy(self) -> None:
-        """Close what has rested too long: `client.close_expired()`, now and then."""
-        for place, row in list(self.kept.items()):
-            left = []
-            for kept in row:
-                if self.now() - kept.since < kept.idle * 0.8 and quiet(kept.stream):
-                    left.append(kept)
+    def close_expired(self) -> None:
+        """Close the idle connections that are near their timeout or no longer reusable."""
+        for endpoint, connections in list(self.idle_connections.items()):
+            remaining = []
+            for idle in connections:
+                if self.now() - idle.idle_since < idle.idle_timeout * 0.8 and is_reusable(idle.stream):
+                    remaining.append(idle)
                 else:
-                    kept.stream.close()
-            if left:
-                self.kept[place] = left
+                    idle.stream.close()
+            if remaining:
+                self.idle_connections[endpoint] = remaining
             else:
-                del self.kept[place]
+                del self.idle_connections[endpoint]
 
     async def open(
         self,
         address: str,
-        life: str,
+        server_id: str,
         method: str,
         path: str,
         headers: HTTPHeaders,
         body: bytes,
         matches: ResponseTest,
-        part: float = 0.8,
-        limit: timedelta = CONNECT_TIMEOUT,
-        anonymous: ResponseTest = never,
+        max_idle_fraction: float = 0.8,
+        timeout: timedelta = CONNECT_TIMEOUT,
+        accept_unidentified: ResponseTest = never,
         before_write: Callable[[], None] = lambda: None,
     ) -> Exchange:
-        """Send one request, once: `exchange = await client.open('127.0.0.1:9000', 'i-1', 'GET', '/', ...)`.
-
-        `life` names what lives at the address; `matches(status, headers)` says whether an answer is to this
-        request, `anonymous(status, headers)` whether one that does not say so may be taken on a connection
-        that carried no other; `part` is how much of a kept connection's time may have passed (0: always a
-        new connection). `before_write` is called once there is a connection, which may take long; if it
-        raises, nothing is sent and the connection is kept.
-        Fault 'unreachable': nothing was sent.
+        """Send a request once: `exchange = await client.open('127.0.0.1:9000', 'i-1', 'GET', '/', ...)`.
+
+        `server_id` identifies the server at the address, so that no connection to an earlier one is reused.
+        `matches(status, headers)` returns whether a response is to this request; `accept_unidentified` whether
+        one that does not say so may be accepted on a connection that carried no other request. A pooled
+        connection is used only if it was idle for less than `max_idle_fraction` of its timeout; 0 always opens
+        a new one. `before_write` is called once there is a connection, which may take long; if it raises, nothing
+        is sent and the connection is pooled. Raises Fault 'unreachable' if nothing was sent.
         """
-        place = (address, life)
+        endpoint = (address, server_id)
         if body or method in ('POST', 'PUT', 'PATCH'):
             headers['Content-Length'] = str(len(body))
         start_line = RequestStartLine(method, path, 'HTTP/1.1')
-        conn, first = None, False
+        conn, first_on_connection = None, False
         while conn is None:
-            if first:
+            if first_on_connection:
                 raise Fault('unreachable', f'{address}: closed before anything was written')
-            stream = self.take(place, part) if part > 0 else None
-            first = stream is None
+            stream = self.acquire(endpoint, max_idle_fraction) if max_idle_fraction > 0 else None
+            first_on_connection = stream is None
             if stream is None:
-                stream = await connect(address, min(limit, CONNECT_TIMEOUT), self.source)
+                stream = await connect(address, min(timeout, CONNECT_TIMEOUT), self.source)
                 self.count('back.connect')
             try:
                 before_write()
             except Fault:
-                self.keep(place, stream, None)
+                self.release(endpoint, stream, None)
                 raise
             conn = begin_request(stream, start_line, headers, body)
-        exchange = Exchange(self, place, stream, matches, anonymous, first)
+        exchange = Exchange(self, endpoint, stream, matches, accept_unidentified, first_on_connection)
         self.exchanges.add(exchange)
         task = asyncio.ensure_future(exchange.read(conn))
         exchange.task = task
@@ -317,14 +323,14 @@
         task.add_done_callback(self.tasks.discard)
         return exchange
 
-    def cut_all(self, fault: Fault) -> None:
-        """Break off all exchanges that are under way: `client.abort_all(Fault('late'))`."""
+    def abort_all(self, fault: Fault) -> None:
+        """Abort all exchanges that are in progress: `client.abort_all(Fault('late'))`."""
         for exchange in list(self.exchanges):
             exchange.abort(fault)
 
     def close(self) -> None:
-        """Close what is kept: `client.close()`."""
-        for row in self.kept.values():
-            for kept in row:
-                kept.stream.close()
-        self.kept.clear()
+        """Close the idle connections."""
+        for connections in self.idle_connections.values():
+            for idle in connections:
+                idle.stream.close()
+        self.idle_connections.clear()
--- a/src/quillstall/network/httpserver.py
+++ b/src/quillstall/network/httpserver.py
@@ -1,8 +1,8 @@
-"""Httpserver: HTTP/1.1 from callers, by tornado's server, with heads and bodies exactly as they came.
+"""An HTTP/1.1 server on top of tornado's that hands over requests exactly as they were read.
 
-The web of network/web.py speaks JSON; a gateway passes on what others speak. So here a request keeps
-its path, its head and its body as they were read, and an answer is written piece by piece, whole or
-visibly broken.
+The server of network/web.py speaks JSON, while a gateway forwards any format. So a request here keeps its
+path, headers and body unchanged, and a response is written in pieces that the client sees either complete
+or broken off.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 class RawRequest(NamedTuple):
-    """One request as it was read.
+    """A request as it was read.
 
     >>> RawRequest('GET', '/a', HTTPHeaders({'Host': 'x'}), b'').headers['host']
     'x'
@@ -32,10 +32,10 @@
     body: bytes
 
 
-class Call(NamedTuple):
-    """One request of the JSON interface, as its function sees it.
+class JsonRequest(NamedTuple):
+    """A request to a JSON API, as its handler gets it.
 
-    >>> Call('GET', '/', {}, b'').path
+    >>> JsonRequest('GET', '/', {}, b'').path
     '/'
     """
 
@@ -46,179 +46,186 @@
 
 
 class JsonResponse:
-    """The way back for whole JSON answers, over an answer of bytes: `JsonResponse(out)`."""
+    """Writes JSON responses through a response of bytes: `JsonResponse(response)`."""
 
-    def __init__(self, out: Any):
-        self.out = out
-        self.gone = out.disconnected
+    def __init__(self, response: Any):
+        self.response = response
+        self.disconnected = response.disconnected
 
-    async def whole(self, status: int, body: Any, headers: dict | None = None) -> None:
-        kind = 'application/problem+json' if status >= 400 else 'application/json'
-        await self.out.whole(
-            status, HTTPHeaders({'Content-Type': kind, **(headers or {})}), json.dumps(body).encode()
+    async def respond(self, status: int, body: Any, headers: dict | None = None) -> None:
+        content_type = 'application/problem+json' if status >= 400 else 'application/json'
+        await self.response.respond(
+            status, HTTPHeaders({'Content-Type': content_type, **(headers or {})}), json.dumps(body).encode()
         )
 
-    async def raw(self, status: int, data: bytes, kind: str, headers: dict | None = None) -> None:
-        """One complete answer of bytes."""
-        await self.out.whole(status, HTTPHeaders({'Content-Type': kind, **(headers or {})}), data)
+    async def respond_bytes(
+        self, status: int, data: bytes, content_type: str, headers: dict | None = None
+    ) -> None:
+        """Send a complete response of bytes."""
+        await self.response.respond(
+            status, HTTPHeaders({'Content-Type': content_type, **(headers or {})}), data
+        )
 
 
 Handler = Callable[[RawRequest, Any], Awaitable[None]]
 
 
-class Answer(HTTPMessageDelegate):
-    """One request being read, then the way back to whoever sent it."""
+class Response(HTTPMessageDelegate):
+    """Reads one request for tornado's connection, then writes its response."""
 
     def __init__(self, listener: 'Listener', conn: Any):
         self.listener = listener
         self.conn = conn
-        self.gone: asyncio.Future = asyncio.get_running_loop().create_future()
+        self.disconnected: asyncio.Future = asyncio.get_running_loop().create_future()
         self.chunks: list[bytes] = []
-        self.start: Any = None
+        self.start_line: Any = None
         self.headers: Any = None
-        self.headed = False
-        self.over = False
-        self.may_have_run = False  # whether an attempt at a replica may have run
-        self.trail: list[Any] = []  # the attempts that failed
+        self.headers_sent = False
+        self.ended = False
+        self.may_have_run = False  # whether an attempt may have run on a replica
+        self.failed_attempts: list[Any] = []
 
     def headers_received(self, start_line: Any, headers: Any) -> None:
-        self.start, self.headers = start_line, headers
+        self.start_line, self.headers = start_line, headers
 
     def data_received(self, chunk: bytes) -> None:
         self.chunks.append(chunk)
 
     def finish(self) -> None:
         self.conn.set_close_callback(self.on_connection_close)
-        call = RawRequest(self.start.method, self.start.path, self.headers, b''.join(self.chunks))
+        request = RawRequest(
+            self.start_line.method, self.start_line.path, self.headers, b''.join(self.chunks)
+        )
         self.chunks = []
-        self.listener.spawn(self.listener.one(call, self))
+        self.listener.spawn(self.listener.handle(request, self))
 
     def on_connection_close(self) -> None:
-        if not self.gone.done():
-            self.gone.set_result(None)
+        if not self.disconnected.done():
+            self.disconnected.set_result(None)
 
-    def lead(self, status: int, headers: Any, chunk: bytes | None) -> Any:
-        if self.gone.done():
+    def write_headers(self, status: int, headers: Any, chunk: bytes | None) -> Any:
+        if self.disconnected.done():
             raise StreamClosedError()
-        if self.listener.closing:  # the caller's next request goes through another door
+        if self.listener.closing:  # the caller then connects elsewhere for its next request
             self.conn._disconnect_on_finish = True
-        self.headed = True
+        self.headers_sent = True
         self.conn.stream.set_nodelay(True)
         return self.conn.write_headers(
             ResponseStartLine('HTTP/1.1', status, responses.get(status, 'Status')), headers, chunk
         )
 
-    async def whole(self, status: int, headers: Any, body: bytes) -> None:
-        """A complete answer: `await out.respond(200, HTTPHeaders(), b'ok')`."""
-        heads = HTTPHeaders(headers)
+    async def respond(self, status: int, headers: Any, body: bytes) -> None:
+        """Send a complete response: `await response.respond(200, HTTPHeaders(), b'ok')`."""
+        response_headers = HTTPHeaders(headers)
         if status != 204 and status != 304:
-            heads['Content-Length'] = str(len(body))
-        plain = self.start.method == 'HEAD' or status in (204, 304)
-        written = self.lead(status, heads, None if plain else body)
-        self.over = True
-        if not plain:
+            response_headers['Content-Length'] = str(len(body))
+        bodyless = self.start_line.method == 'HEAD' or status in (204, 304)
+        written = self.write_headers(status, response_headers, None if bodyless else body)
+        self.ended = True
+        if not bodyless:
             await written
         self.conn.finish()
 
     async def head(self, status: int, headers: Any) -> None:
-        """Begin an answer in pieces: `await out.head(200, HTTPHeaders())`."""
-        await self.lead(status, HTTPHeaders(headers), None)
+        """Begin a streamed response: `await response.head(200, HTTPHeaders())`."""
+        await self.write_headers(status, HTTPHeaders(headers), None)
 
     async def write(self, data: bytes) -> None:
-        """One piece more: `await out.write(b'...')`."""
-        if self.gone.done():
+        """Write more of a streamed response. Raises StreamClosedError if the caller disconnected."""
+        if self.disconnected.done():
             raise StreamClosedError()
         await self.conn.write(data)
 
     async def end(self) -> None:
-        """The answer in pieces is complete: `await out.end()`."""
-        if self.gone.done():
+        """Complete a streamed response. Raises StreamClosedError if the caller disconnected."""
+        if self.disconnected.done():
             raise StreamClosedError()
-        self.over = True
+        self.ended = True
         self.conn.finish()
 
-    def cut(self) -> None:
-        """Break the connection off, so that what was written does not look complete: `out.abort()`."""
-        if not self.over:
-            self.over = True
+    def abort(self) -> None:
+        """Close the connection, so that the response does not look complete: `response.abort()`."""
+        if not self.ended:
+            self.ended = True
             stream = self.conn.stream
             if stream is not None:
                 stream.close()
 
 
 class Listener(HTTPServerConnectionDelegate):
-    """Listens at one address and hands each request to one function."""
+    """Accepts HTTP connections at an address and passes each request to the handler."""
 
     def __init__(
         self,
         handler: Handler,
         count: Callable[[str], None],
-        most_head: int = 65536,
-        most_body: int = 8 * 1024 * 1024,
-        idle: timedelta = timedelta(seconds=60),
+        max_header_bytes: int = 65536,
+        max_body_bytes: int = 8 * 1024 * 1024,
+        idle_timeout: timedelta = timedelta(seconds=60),
         violated: Callable[..., None] = lambda name, **facts: None,
     ):
         self.violated = violated
         self.handler = handler
         self.count = count
         self.tasks: set = set()
-        self.busy = 0
+        self.open_requests = 0
         self.closing = False
         self.server = HTTPServer(
             self,
-            max_header_size=most_head,
-            max_body_size=most_body,
-            max_buffer_size=most_body + most_head,
-            idle_connection_timeout=idle.total_seconds(),
+            max_header_size=max_header_bytes,
+            max_body_size=max_body_bytes,
+            max_buffer_size=max_body_bytes + max_header_bytes,
+            idle_connection_timeout=idle_timeout.total_seconds(),
         )
 
-    def limit(self, most_head: int, most_body: int, idle: timedelta) -> None:
-        """Other limits, from the next request of each connection on: `listener.limit(16384, 4096, span)`.
+    def set_limits(self, max_header_bytes: int, max_body_bytes: int, idle_timeout: timedelta) -> None:
+        """Apply limits from the next request on each connection: `listener.set_limits(16384, 4096, of_ms(60_000))`.
 
-        Connections that are open hold the same parameters and must follow: their callers rest by the
-        limits that are in force now."""
-        params = self.server.conn_params
-        params.max_header_size = most_head
-        params.max_body_size = most_body
-        params.header_timeout = idle.total_seconds()
+        Open connections share the parameter object, so they follow too: the idle timeout of a connection
+        is always the current one.
+        """
+        parameters = self.server.conn_params
+        parameters.max_header_size = max_header_bytes
+        parameters.max_body_size = max_body_bytes
+        parameters.header_timeout = idle_timeout.total_seconds()
 
     def listen(self, address: str) -> None:
-        """Take connections: `listener.listen('127.0.0.1:8000')`."""
+        """Accept connections: `listener.listen('127.0.0.1:8000')`."""
         host, port = parse_address(address)
         self.server.listen(port, host, backlog=1024)
 
-    def start_request(self, server_conn: Any, request_conn: Any) -> Answer:
-        return Answer(self, request_conn)
+    def start_request(self, server_conn: Any, request_conn: Any) -> Response:
+        return Response(self, request_conn)
 
     def on_close(self, server_conn: Any) -> None:
         pass
 
-    def spawn(self, work: Any) -> None:
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine: Any) -> None:
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def one(self, call: RawRequest, out: Answer) -> None:
-        self.busy += 1
+    async def handle(self, request: RawRequest, response: Response) -> None:
+        self.open_requests += 1
         try:
-            await self.handler(call, out)
+            await self.handler(request, response)
         except StreamClosedError:
             self.count('http.gone')
         except asyncio.CancelledError:
             raise
-        except Exception as e:  # one request must not take the process with it
+        except Exception as e:  # a failed request must not stop the process
             self.count(f'http.fault.{type(e).__name__}')
-            self.violated('request_ended', path=call.path, cause=f'{type(e).__name__}: {e}')
-            out.abort()
+            self.violated('request_ended', path=request.path, cause=f'{type(e).__name__}: {e}')
+            response.abort()
             raise
         else:
-            if not out.over and not out.disconnected.done():
-                self.violated('request_ended', path=call.path, cause='neither answered nor cut')
-                out.abort()
+            if not response.ended and not response.disconnected.done():
+                self.violated('request_ended', path=request.path, cause='neither answered nor cut')
+                response.abort()
         finally:
-            self.busy -= 1
+            self.open_requests -= 1
 
     async def close(self) -> None:
-        """Take no more connections and drop those there are: `await listener.close()`."""
+        """Stop listening and close all connections."""
         self.server.stop()
         await self.server.close_all_connections()
--- a/src/quillstall/network/listing.py
+++ b/src/quillstall/network/listing.py
@@ -1,7 +1,7 @@
-"""Listing: the replicas of pools whose policy does not declare them, as a list shows them at a time.
+"""Lists of the replicas in pools whose policy does not declare them, each with the time of its lookup.
 
-The time is when the look-up began, on the steady clock of whoever holds the list. Machines' clocks differ,
-so a message carries the list's age in its place.
+The time is when the lookup began, on the monotonic clock of the process that holds the list. The clocks of
+machines differ, so a message carries the age of the list instead.
 """
 
 from datetime import datetime, timedelta
@@ -12,7 +12,7 @@
 
 
 class Listing(NamedTuple):
-    """The replicas by pool, as they stood at a time: an event for whoever keeps them.
+    """An event that carries the replicas of each pool as they were at a time.
 
     >>> Listing({'at': 1.0, 'pools': {}, 'digest': ''}).rows['at']
     1.0
@@ -22,21 +22,24 @@
 
 
 def digest(pools: dict) -> str:
-    """A short name of what a list says, the same wherever it is reckoned.
+    """Return a short hash of a list's contents that is the same in every process.
 
     >>> digest({}) == digest({}), digest({'p': {}}) == digest({})
     (True, False)
     """
     return blake2b(
         cbor2.dumps(
-            sorted((p, sorted((r, sorted(v.items())) for r, v in rows.items())) for p, rows in pools.items())
+            sorted(
+                (pool, sorted((replica, sorted(row.items())) for replica, row in replicas.items()))
+                for pool, replicas in pools.items()
+            )
         ),
         digest_size=8,
     ).hexdigest()
 
 
 def to_wire(rows: dict, now: datetime) -> dict:
-    """A list, or what is known of one, as a message carries it: its age in place of its time.
+    """Return a list, or a summary of one, with its age in place of its time.
 
     >>> to_wire({'at': datetime.now().timestamp(), 'digest': 'a'}, datetime.now())['digest']
     'a'
@@ -50,9 +53,11 @@
     return {**rest, 'age_ms': age / timedelta(milliseconds=1)}
 
 
-def from_wire(message: dict, then: datetime) -> dict:
-    """A list as it came in a message; `then` is when its age was reckoned, or, to be sure that it is not
-    taken for younger than it is, a time before that.
+def from_wire(message: dict, measured_at: datetime) -> dict:
+    """Return a list from a message, with its time in place of its age.
+
+    `measured_at` is when the age was measured. A receiver passes a time that is certainly not later, such as
+    when it sent its request, so that the list is never taken for newer than it is.
 
     >>> from_wire({'age_ms': 500, 'digest': 'a'}, datetime.fromtimestamp(10))
     {'digest': 'a', 'at': 9.5}
@@ -60,17 +65,17 @@
     if not message:
         return {}
     rest = {key: value for key, value in message.items() if key != 'age_ms'}
-    return {**rest, 'at': (then - timedelta(milliseconds=message['age_ms'])).timestamp()}
+    return {**rest, 'at': (measured_at - timedelta(milliseconds=message['age_ms'])).timestamp()}
 
 
-def newer(have: Any, rows: Any) -> bool:
-    """Whether a list is news to someone who has another: it says something else, and is younger.
+def is_newer(current: Any, candidate: Any) -> bool:
+    """Return whether the candidate list differs from the current one and is newer.
 
-    >>> newer({'at': 1.0, 'digest': 'a'}, {'at': 2.0, 'digest': 'b'}), newer({'at': 3.0, 'digest': 'a'}, {'at': 2.0, 'digest': 'b'})
+    >>> is_newer({'at': 1.0, 'digest': 'a'}, {'at': 2.0, 'digest': 'b'}), is_newer({'at': 3.0, 'digest': 'a'}, {'at': 2.0, 'digest': 'b'})
     (True, False)
-    >>> newer({}, {'at': 2.0, 'digest': 'b'}), newer({}, {})
+    >>> is_newer({}, {'at': 2.0, 'digest': 'b'}), is_newer({}, {})
     (True, False)
     """
-    if not rows:
+    if not candidate:
         return False
-    return not have or (have['digest'] != rows['digest'] and have['at'] < rows['at'])
+    return not current or (current['digest'] != candidate['digest'] and current['at'] < candidate['at'])
--- a/src/quillstall/network/net.py
+++ b/src/quillstall/network/net.py
@@ -1,4 +1,4 @@
-"""Net: one process's messages to and from the others, by IP number and port."""
+"""Request and reply messages between processes over TCP, addressed by IP number and port."""
 
 import asyncio
 import socket
@@ -13,32 +13,35 @@
 from quillstall.runtime.errors import Fault
 
 MAGIC = b'QST1'
-MOST = 32 * 1024 * 1024
-BACKLOG = 128
-REDIAL = timedelta(milliseconds=200)  # an attempt to connect is joined by another after so long
-USER_TIMEOUT_MS = 1500  # what is sent and not confirmed for so long breaks the connection
+MAX_FRAME_BYTES = 32 * 1024 * 1024
+LISTEN_BACKLOG = 128
+CONNECT_ATTEMPT_INTERVAL = timedelta(milliseconds=200)
+TCP_USER_TIMEOUT_MS = 1500  # data that is not acknowledged for so long breaks the connection
 CONNECT_TIMEOUT = timedelta(seconds=2)
-READ_BYTES = 64 * 1024  # taken from a connection at once, at most
-LENGTH = struct.Struct('>I')
+MAX_READ_BYTES = 64 * 1024
+LENGTH_PREFIX = struct.Struct('>I')
 Handler = Callable[[dict], Awaitable[dict]]
 
 
 class INet(Interface):
-    """Asking and being asked. Each message is a dictionary; so is each return."""
+    """Sends and serves request messages. Each message and each reply is a dictionary."""
 
     async def serve(address, handler):
-        """Listen at 'ip:port'; each message is handed to `handler` and its return sent back."""
+        """Listen at 'ip:port' and send back what `handler` returns for each message."""
 
     async def ask(address, message, limit):
-        """The return of the process there. Fault 'unreachable': nothing was sent;
-        'lost' or 'slow': it may have been taken; any other code: its own refusal."""
+        """Return the reply of the process at the address.
+
+        Raises Fault 'unreachable' if nothing was sent, 'lost' or 'slow' if the message may have been
+        handled, and any other code if the process replied with that fault.
+        """
 
     async def close():
-        """Stop listening and drop all links."""
+        """Stop listening and close all links."""
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """The IP number and the port of an address.
+    """Return the IP number and the port of an address.
 
     >>> parse_address('127.0.0.1:7000')
     ('127.0.0.1', 7000)
@@ -47,19 +50,19 @@
     return host, int(port)
 
 
-def quick(sock: socket.socket) -> None:
-    """Make a socket send at once and notice a silent peer soon."""
+def set_socket_options(sock: socket.socket) -> None:
+    """Turn off Nagle's algorithm, and limit how long sent data may stay unacknowledged."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
 async def connect(address: str, limit: timedelta, source: str | None = None) -> IOStream:
-    """A new connection, without a look-up of names; Fault 'unreachable' if none comes in time.
+    """Return a new connection, made without a name lookup. Raises Fault 'unreachable' if there is none in time.
 
     `stream = await connect('127.0.0.1:9000', of_ms(400))`
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    quick(sock)
+    set_socket_options(sock)
     stream = IOStream(sock, max_buffer_size=104857600)
     try:
         if source:
@@ -76,17 +79,17 @@
 
 
 def encode_frame(call: int, message: dict) -> bytes:
-    """One frame: its length, then the call's number and the message in CBOR.
+    """Return one frame: its length, then the call number and the message in CBOR.
 
     >>> decode_frame(encode_frame(3, {'k': 'hi'})[4:])
     (3, {'k': 'hi'})
     """
     body = cbor2.dumps([call, message])
-    return LENGTH.pack(len(body)) + body
+    return LENGTH_PREFIX.pack(len(body)) + body
 
 
 def decode_frame(body: bytes) -> tuple[int, dict]:
-    """The call's number and the message of a frame's body; Fault 'garbled' if it is none.
+    """Return the call number and the message of a frame's body. Raises Fault 'garbled' if it is malformed.
 
     >>> decode_frame(b'zzz')
     Traceback (most recent call last):
@@ -101,38 +104,38 @@
     return call, message
 
 
-class FrameCutter:
-    """Cuts the bytes that a connection brings into frames.
+class FrameDecoder:
+    """Splits the bytes that are read from a connection into frames.
 
-    >>> cutter, data = FrameCutter(), encode_frame(1, {'k': 'a'}) + encode_frame(2, {'k': 'b'})
-    >>> list(cutter.take(data[:-1])), list(cutter.take(data[-1:]))
+    >>> decoder, data = FrameDecoder(), encode_frame(1, {'k': 'a'}) + encode_frame(2, {'k': 'b'})
+    >>> list(decoder.feed(data[:-1])), list(decoder.feed(data[-1:]))
     ([(1, {'k': 'a'})], [(2, {'k': 'b'})])
     """
 
     def __init__(self) -> None:
-        self.left = bytearray()
-
-    def take(self, data: bytes) -> Iterator[tuple[int, dict]]:
-        """The frames that are whole now, each removed as it is given; Fault 'garbled' at one that is none."""
-        self.left += data
-        while len(self.left) >= LENGTH.size:
-            (size,) = LENGTH.unpack_from(self.left)
-            if size > MOST:
-                raise Fault('garbled', f'a frame of {size} bytes')
-            end = LENGTH.size + size
-            if len(self.left) < end:
+        self.buffer = bytearray()
+
+    def feed(self, data: bytes) -> Iterator[tuple[int, dict]]:
+        """Yield the frames that are complete. Raises Fault 'garbled' at a malformed one."""
+        self.buffer += data
+        while len(self.buffer) >= LENGTH_PREFIX.size:
+            (size,) = LENGTH_PREFIX.unpack_from(self.buffer)
+            if size > MAX_FRAME_BYTES:
+                raise Fault('garbled', f'a frame of {size} bytes is too long')
+            end = LENGTH_PREFIX.size + size
+            if len(self.buffer) < end:
                 return
-            body = bytes(self.left[LENGTH.size : end])
-            del self.left[:end]
+            body = bytes(self.buffer[LENGTH_PREFIX.size : end])
+            del self.buffer[:end]
             yield decode_frame(body)
 
 
-async def dial_once(address: str, source: str | None) -> socket.socket:
-    """One attempt to connect, for as long as it takes; OSError if it is refused."""
+async def connect_socket_once(address: str, source: str | None) -> socket.socket:
+    """Return a connected socket after one attempt without a time limit. Raises OSError if it fails."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
-        quick(sock)
+        set_socket_options(sock)
         if source:
             sock.bind((source, 0))
         await asyncio.get_running_loop().sock_connect(sock, parse_address(address))
@@ -142,15 +145,20 @@
     return sock
 
 
-async def dial(address: str, source: str | None) -> socket.socket:
-    """A connected socket. The system repeats a lost first packet only after a second, so a machine that comes
-    back meanwhile would be met late: a further attempt is made beside the earlier ones each 200 ms."""
+async def connect_socket(address: str, source: str | None) -> socket.socket:
+    """Return the first socket that connects, of attempts that start 200 ms apart and run concurrently.
+
+    The kernel retransmits a lost SYN only after a second. A machine that comes back meanwhile is reached
+    sooner by the next attempt.
+    """
     attempts: set[asyncio.Task] = set()
     try:
         while True:
-            attempts.add(asyncio.ensure_future(dial_once(address, source)))
+            attempts.add(asyncio.ensure_future(connect_socket_once(address, source)))
             done, _ = await asyncio.wait(
-                attempts, timeout=REDIAL.total_seconds(), return_when=asyncio.FIRST_COMPLETED
+                attempts,
+                timeout=CONNECT_ATTEMPT_INTERVAL.total_seconds(),
+                return_when=asyncio.FIRST_COMPLETED,
             )
             if done:
                 first = done.pop()
@@ -158,30 +166,30 @@
                 return first.result()
     finally:
         for attempt in attempts:
-            attempt.add_done_callback(close_unused)
+            attempt.add_done_callback(close_unused_socket)
             attempt.cancel()
 
 
-def close_unused(attempt: asyncio.Task) -> None:
-    """Close the socket of an attempt that came second."""
+def close_unused_socket(attempt: asyncio.Task) -> None:
+    """Close the socket of an attempt that connected after another one."""
     if not attempt.cancelled() and attempt.exception() is None:
         attempt.result().close()
 
 
 class Connection:
-    """One connection between two processes, in either direction."""
+    """A connection between two processes, incoming or outgoing."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
         self.reader = reader
         self.writer = writer
-        self.cutter = FrameCutter()
+        self.decoder = FrameDecoder()
 
     @classmethod
     async def open(cls, address: str, limit: timedelta, source: str | None = None) -> 'Connection':
-        """A new connection, greeted; Fault 'unreachable' if none comes in time."""
+        """Connect, write the magic bytes and return the connection. Raises Fault 'unreachable'."""
         try:
             async with asyncio.timeout(max(0.0, limit.total_seconds())):
-                sock = await dial(address, source)
+                sock = await connect_socket(address, source)
                 reader, writer = await asyncio.open_connection(sock=sock)
         except (OSError, TimeoutError) as e:
             raise Fault('unreachable', f'{address}: {type(e).__name__} {e}') from e
@@ -189,42 +197,42 @@
         return cls(reader, writer)
 
     async def read(self) -> bytes:
-        """What has come since; empty at the end of the connection, however it ended."""
+        """Wait for data and return it; empty if the connection was closed or reset."""
         try:
-            return await self.reader.read(READ_BYTES)
+            return await self.reader.read(MAX_READ_BYTES)
         except OSError:
             return b''
 
-    async def greeted(self) -> bool:
-        """Whether the other side says that it is one of ours: `await connection.greeted()`."""
+    async def receive_magic(self) -> bool:
+        """Return whether the peer begins with the magic bytes of this protocol."""
         try:
             return await self.reader.readexactly(len(MAGIC)) == MAGIC
         except (OSError, asyncio.IncompleteReadError):
             return False
 
     def send(self, call: int, message: dict) -> None:
-        """Write one frame: `connection.send(1, {'k': 'hi'})`. On a closed connection nothing is written."""
+        """Write one frame, unless the connection is closed: `connection.send(1, {'k': 'hi'})`."""
         if not self.closed():
             self.writer.write(encode_frame(call, message))
 
     async def drain(self) -> None:
-        """Wait while the other side reads too slowly."""
+        """Wait until the peer has read enough for more to be written."""
         try:
             await self.writer.drain()
         except OSError:
             self.close()
 
     def closed(self) -> bool:
-        """Whether either side has closed it."""
+        """Return whether either side has closed the connection."""
         return self.writer.is_closing()
 
     def close(self) -> None:
-        """Close it at once; what is not sent yet is dropped."""
+        """Close the connection at once and drop data that is not sent yet."""
         self.writer.transport.abort()
 
 
-async def answer(handler: Handler, message: dict) -> dict:
-    """What the handler returns, a Fault packed: `await call_handler(handler, {'k': 'hi'})`."""
+async def call_handler(handler: Handler, message: dict) -> dict:
+    """Return the handler's reply, or the packed Fault that it raised: `await call_handler(handler, {'k': 'hi'})`."""
     try:
         return await handler(message)
     except Fault as e:
@@ -234,7 +242,7 @@
 
 
 class Listener:
-    """Takes the links of others; one task for each link reads it, one for each call answers."""
+    """Accepts connections of other processes. One task reads each connection, one more handles each call."""
 
     def __init__(self, handler: Handler, count: Callable[[str], None]):
         self.handler = handler
@@ -244,18 +252,18 @@
         self.server: asyncio.Server | None = None
 
     async def listen(self, address: str) -> None:
-        """Take connections at an address: `await listener.listen('127.0.0.1:7000')`."""
+        """Accept connections at an address: `await listener.listen('127.0.0.1:7000')`."""
         host, port = parse_address(address)
-        self.server = await asyncio.start_server(self.serve, host, port, backlog=BACKLOG)
+        self.server = await asyncio.start_server(self.serve, host, port, backlog=LISTEN_BACKLOG)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One link from its greeting to its end."""
+        """Serve one connection until it ends, and count a peer that does not speak this protocol."""
         connection = Connection(reader, writer)
         self.connections.add(connection)
-        quick(writer.get_extra_info('socket'))
+        set_socket_options(writer.get_extra_info('socket'))
         try:
-            if await connection.greeted():
-                await self.read(connection)
+            if await connection.receive_magic():
+                await self.read_calls(connection)
             else:
                 self.count('net.stranger')
         except Fault:
@@ -264,21 +272,21 @@
             self.connections.discard(connection)
             connection.close()
 
-    async def read(self, connection: Connection) -> None:
-        """Answer each call of a link until its end; Fault 'garbled' at what is no frame."""
+    async def read_calls(self, connection: Connection) -> None:
+        """Start a task for each call until the connection ends. Raises Fault 'garbled' at a malformed frame."""
         while data := await connection.read():
-            for call, message in connection.cutter.take(data):
-                task = asyncio.ensure_future(self.one(connection, call, message))
+            for call, message in connection.decoder.feed(data):
+                task = asyncio.ensure_future(self.handle_call(connection, call, message))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
 
-    async def one(self, connection: Connection, call: int, message: dict) -> None:
-        """Answer one call."""
+    async def handle_call(self, connection: Connection, call: int, message: dict) -> None:
+        """Handle one call and send its reply."""
         connection.send(call, await call_handler(self.handler, message))
         await connection.drain()
 
     def close(self) -> None:
-        """Stop listening and drop the links."""
+        """Stop listening and close the connections."""
         if self.server:
             self.server.close()
         for connection in list(self.connections):
@@ -286,45 +294,45 @@
 
 
 class Link:
-    """One outgoing link: its connection, its calls in flight, and the task that reads it."""
+    """An outgoing connection, its calls that wait for replies, and the task that reads the replies."""
 
     def __init__(self, connection: Connection):
         self.connection = connection
-        self.calls: dict[int, asyncio.Future] = {}
-        self.last = 0
-        self.heard = 0.0  # when anything last came back on it
-        self.task = asyncio.ensure_future(self.run())
+        self.pending_calls: dict[int, asyncio.Future] = {}
+        self.last_call = 0
+        self.last_received_at = 0.0
+        self.task = asyncio.ensure_future(self.read_replies())
 
     def closed(self) -> bool:
-        """Whether nothing can be asked on it any more."""
+        """Return whether no more calls can be made on the link."""
         return self.task.done() or self.connection.closed()
 
-    async def run(self) -> None:
-        """Hand each return to whoever asked, until the link ends."""
+    async def read_replies(self) -> None:
+        """Resolve each pending call with its reply; when the connection ends, fail the others as 'lost'."""
         try:
             while data := await self.connection.read():
-                self.heard = asyncio.get_running_loop().time()
-                for call, ret in self.connection.cutter.take(data):
-                    wait = self.calls.pop(call, None)
-                    if wait and not wait.done():
-                        wait.set_result(ret)
+                self.last_received_at = asyncio.get_running_loop().time()
+                for call, reply in self.connection.decoder.feed(data):
+                    reply_future = self.pending_calls.pop(call, None)
+                    if reply_future and not reply_future.done():
+                        reply_future.set_result(reply)
         except Fault:
             pass
         finally:
             self.connection.close()
-            for wait in self.calls.values():
-                if not wait.done():
-                    wait.set_result(Fault('lost', 'the link broke').pack())
-            self.calls.clear()
+            for reply_future in self.pending_calls.values():
+                if not reply_future.done():
+                    reply_future.set_result(Fault('lost', 'the link broke').pack())
+            self.pending_calls.clear()
 
 
 @implementer(INet)
 class TcpNet:
-    """The net over TCP."""
+    """Messages over TCP, with one outgoing link to each address."""
 
-    def __init__(self, count: Callable[[str], None] = lambda what: None, source: str | None = None):
+    def __init__(self, count: Callable[[str], None] = lambda name: None, source: str | None = None):
         self.count = count
-        self.source = source  # the IP number that our own links start from
+        self.source = source  # the IP number that outgoing connections are bound to
         self.links: dict[str, Link] = {}
         self.locks: dict[str, asyncio.Lock] = {}
         self.listener: Listener | None = None
@@ -335,11 +343,11 @@
         await self.listener.listen(address)
 
     async def open(self, address: str) -> Connection:
-        """A new connection for a link to an address."""
+        """Return a new connection to an address."""
         return await Connection.open(address, CONNECT_TIMEOUT, self.source)
 
     async def link(self, address: str) -> Link:
-        """The link to an address; a new one where there is none that works."""
+        """Return the open link to an address, or connect a new one."""
         link = self.links.get(address)
         if link and not link.closed():
             return link
@@ -351,33 +359,35 @@
             return link
 
     async def ask(self, address: str, message: dict, limit: timedelta) -> dict:
-        """Ask one process: `await net.ask('127.0.0.1:7000', {'k': 'hi'}, of_ms(500))`."""
-        sent = None
+        """Return a process's reply: `await net.ask('127.0.0.1:7000', {'k': 'hi'}, of_ms(500))`."""
+        sent_at = None
         try:
             async with asyncio.timeout(max(0.0, limit.total_seconds())):
                 link = await self.link(address)
-                link.last += 1
-                call = link.last
-                wait = link.calls[call] = asyncio.get_running_loop().create_future()
-                sent = asyncio.get_running_loop().time()
+                link.last_call += 1
+                call = link.last_call
+                reply_future = link.pending_calls[call] = asyncio.get_running_loop().create_future()
+                sent_at = asyncio.get_running_loop().time()
                 try:
                     link.connection.send(call, message)
-                    ret = await wait
+                    reply = await reply_future
                 finally:
-                    link.calls.pop(call, None)
+                    link.pending_calls.pop(call, None)
         except TimeoutError as e:
-            if sent is not None and link.heard < sent:  # nothing at all has come back since: the link may
-                self.count('net.silent')  # be dead without knowing it; the next ask makes another
+            # A link on which nothing came back since the call may be dead without a sign of it: the next
+            # call opens another.
+            if sent_at is not None and link.last_received_at < sent_at:
+                self.count('net.silent')
                 link.connection.close()
             raise Fault(
-                'slow' if sent is not None else 'unreachable', f'{address}: no return in {limit}'
+                'slow' if sent_at is not None else 'unreachable', f'{address}: no reply in {limit}'
             ) from e
-        if 'fault' in ret:
-            raise Fault.of(ret)
-        return ret
+        if 'fault' in reply:
+            raise Fault.of(reply)
+        return reply
 
     async def close(self) -> None:
-        """Stop listening and drop all links: `await net.close()`."""
+        """Stop listening and close all links: `await net.close()`."""
         if self.listener:
             self.listener.close()
         for link in self.links.values():
--- a/src/quillstall/network/packing.py
+++ b/src/quillstall/network/packing.py
@@ -1,38 +1,38 @@
-"""Packing: a large value as bytes that are made once and sent to many."""
+"""Compression of large values that are encoded once and sent to many receivers."""
 
 import zlib
 from typing import Any
 
 import cbor2
 
-LEVEL = 1  # of zlib: most of what there is to gain, at a small part of the time
-POLICY = 'policy'
-PACKED_POLICY = 'policy_packed'
+COMPRESSION_LEVEL = 1  # zlib's fastest level reaches most of the possible compression
+POLICY_KEY = 'policy'
+PACKED_POLICY_KEY = 'policy_packed'
 
 
-def packed(value: Any) -> bytes:
-    """A value as bytes.
+def compress(value: Any) -> bytes:
+    """Return a value as compressed CBOR.
 
-    >>> data = packed({'routes': ['a'] * 9000}); len(data) < 200, unpacked(data)['routes'][0]
+    >>> data = compress({'routes': ['a'] * 9000}); len(data) < 200, decompress(data)['routes'][0]
     (True, 'a')
     """
-    return zlib.compress(cbor2.dumps(value), LEVEL)
+    return zlib.compress(cbor2.dumps(value), COMPRESSION_LEVEL)
 
 
-def unpacked(data: bytes) -> Any:
-    """The value that such bytes hold: `unpacked(data)`."""
+def decompress(data: bytes) -> Any:
+    """Return the value that `compress` encoded."""
     return cbor2.loads(zlib.decompress(data))
 
 
-def with_unpacked_policy(news: dict) -> dict:
-    """News of the core with its policy as a value, however it came.
+def with_unpacked_policy(update: dict) -> dict:
+    """Return a core update with its policy as a value, whether or not the policy came compressed.
 
-    >>> with_unpacked_policy({'generation': 2, 'policy_packed': packed({'classes': {}})})
+    >>> with_unpacked_policy({'generation': 2, 'policy_packed': compress({'classes': {}})})
     {'generation': 2, 'policy': {'classes': {}}}
     >>> with_unpacked_policy({'generation': 2, 'policy': 1})
     {'generation': 2, 'policy': 1}
     """
-    if PACKED_POLICY not in news:
-        return news
-    rest = {key: value for key, value in news.items() if key != PACKED_POLICY}
-    return {**rest, POLICY: unpacked(news[PACKED_POLICY])}
+    if PACKED_POLICY_KEY not in update:
+        return update
+    rest = {key: value for key, value in update.items() if key != PACKED_POLICY_KEY}
+    return {**rest, POLICY_KEY: decompress(update[PACKED_POLICY_KEY])}
--- a/src/quillstall/testbed/sim.py
+++ b/src/quillstall/testbed/sim.py
@@ -19,7 +19,7 @@
 from zope.interface import implementer
 
 from quillstall.network.net import INet, call_handler
-from quillstall.network.web import JsonRequest, IWeb
+from quillstall.network.web import IWeb, JsonRequest
 from quillstall.runtime.clock import IClock
 from quillstall.runtime.disk import CorruptFile, IDisk, Put
 from quillstall.runtime.errors import Fault
@@ -524,7 +524,9 @@
             flow.out.disconnected.set_result(None)
         life = there.life
         world.webs[address][1]((call, flow.out))
-        await asyncio.wait((flow.out.disconnected, flow.out.ended, there.end), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(
+            (flow.out.disconnected, flow.out.ended, there.end), return_when=asyncio.FIRST_COMPLETED
+        )
         if there.life != life:
             flow.queue.put_nowait(('end', 'lost'))
 
--- a/src/quillstall/testbed/wires.py
+++ b/src/quillstall/testbed/wires.py
@@ -36,7 +36,9 @@
         """Serve these addresses: `await wires.open(['127.0.1.1:7000'])`."""
         for address in addresses:
             self.servers.append(
-                await asyncio.start_server(lambda r, w, at=address: self.link(r, w, at), *parse_address(address))
+                await asyncio.start_server(
+                    lambda r, w, at=address: self.link(r, w, at), *parse_address(address)
+                )
             )
 
     async def link(self, reader: Any, writer: Any, address: str) -> None:
