--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -1,4 +1,4 @@
-"""Steps about messages between our own processes, on real links of loopback."""
+"""Steps about messages between processes, over TCP connections on loopback."""
 
 import asyncio
 import socket
@@ -17,44 +17,46 @@
 from quillstall.runtime.errors import Fault
 from quillstall.runtime.process import Ctx, Host
 
-GIVE_UP = of_ms(150)
-PATIENT = of_ms(3000)
+SHORT_TIMEOUT = of_ms(150)
+LONG_TIMEOUT = of_ms(3000)
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
 
 
 class HoldingProcess:
-    """Takes links and keeps what it is asked; returns are sent by the scenario."""
+    """Accepts connections and records the calls; the scenario sends the replies."""
 
     def __init__(self):
-        self.asked = []  # (stream, number, message), in order
+        self.calls = []  # (writer, call number, message), in order
         self.address = f'127.0.0.1:{held_port()}'
 
     async def start(self):
         host, port = self.address.split(':')
-        self.server = await asyncio.start_server(self.take, host, int(port))
+        self.server = await asyncio.start_server(self.read_calls, host, int(port))
 
-    async def take(self, reader, writer):
+    async def read_calls(self, reader, writer):
         try:
             assert await reader.readexactly(4) == MAGIC
             while True:
                 size = int.from_bytes(await reader.readexactly(4))
-                number, message = decode_frame(await reader.readexactly(size))
-                self.asked.append((writer, number, message))
+                call_number, message = decode_frame(await reader.readexactly(size))
+                self.calls.append((writer, call_number, message))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def send(self, at, number=None, text=None):
-        """The return to what was asked as the at-th, under its own number or another."""
-        writer, own, message = self.asked[at]
-        writer.write(encode_frame(own if number is None else number, {'to': text or message['name']}))
+    async def reply(self, index, call_number=None, text=None):
+        """Reply to the call with this index, under its own call number or another."""
+        writer, own_number, message = self.calls[index]
+        writer.write(
+            encode_frame(own_number if call_number is None else call_number, {'to': text or message['name']})
+        )
         await writer.drain()
 
 
-def run(context, work):
-    return context.loop.run_until_complete(work)
+def run(context, coroutine):
+    return context.loop.run_until_complete(coroutine)
 
 
-def built(context):
+def set_up_network(context):
     context.loop = asyncio.new_event_loop()
     context.net = TcpNet()
 
@@ -68,146 +70,146 @@
     context.add_cleanup(close)
 
 
-@given('a process that holds back its returns')
-def holding(context):
-    built(context)
-    context.other = HoldingProcess()
-    run(context, context.other.start())
+@given('a process that holds back its replies')
+def process_without_replies(context):
+    set_up_network(context)
+    context.process = HoldingProcess()
+    run(context, context.process.start())
 
 
-def ask(context, name, limit=PATIENT, process=None):
-    """Ask under a name; the return, or the fault's code."""
-    address = (process or context.other).address
+def call(context, name, timeout=LONG_TIMEOUT, process=None):
+    """Return a task that calls the process and returns its reply, or the code of the fault."""
+    address = (process or context.process).address
 
-    async def work():
+    async def call_process():
         try:
-            return (await context.net.ask(address, {'name': name}, limit))['to']
+            return (await context.net.ask(address, {'name': name}, timeout))['to']
         except Fault as e:
             return e.code
 
-    return asyncio.ensure_future(work(), loop=context.loop)
+    return asyncio.ensure_future(call_process(), loop=context.loop)
 
 
-@when('one asks and gives up, and another asks on the same link')
-def late_return(context):
+@when('one call times out, and another is made on the same link')
+def late_reply(context):
     async def script():
-        other = context.other
-        keep = ask(context, 'keep')  # something comes back on the link, so that it counts as alive
-        await wait_until(lambda: len(other.asked) == 1)
-        first = ask(context, 'first', GIVE_UP)
-        await wait_until(lambda: len(other.asked) == 2)
-        await other.send(0)
+        process = context.process
+        earliest = call(context, 'keep')  # its reply shows that the link is alive
+        await wait_until(lambda: len(process.calls) == 1)
+        first = call(context, 'first', SHORT_TIMEOUT)
+        await wait_until(lambda: len(process.calls) == 2)
+        await process.reply(0)
         context.first = await first
-        second = ask(context, 'second')
-        await wait_until(lambda: len(other.asked) == 3)
-        await other.send(1)
-        await other.send(2)
-        context.second, context.kept = await second, await keep
+        second = call(context, 'second')
+        await wait_until(lambda: len(process.calls) == 3)
+        await process.reply(1)
+        await process.reply(2)
+        context.second, context.earliest = await second, await earliest
 
     run(context, script())
 
 
-@then('the late return of the first reaches nobody, and the second gets its own')
-def nobody(context):
-    assert (context.kept, context.first, context.second) == ('keep', 'slow', 'second')
-    assert len({id(writer) for writer, _, _ in context.other.asked}) == 1, 'not one link'
+@then('the late reply to the first is dropped, and the second gets its own')
+def late_reply_dropped(context):
+    assert (context.earliest, context.first, context.second) == ('keep', 'slow', 'second')
+    assert len({id(writer) for writer, _, _ in context.process.calls}) == 1, 'more than one link'
 
 
-@when('{count:d} ask at once and are answered in the opposite order')
-def crossed(context, count):
+@when('{count:d} calls are made at once and are answered in the opposite order')
+def replies_out_of_order(context, count):
     async def script():
-        names = [f'n{n}' for n in range(count)]
-        asks = [ask(context, name) for name in names]
-        await wait_until(lambda: len(context.other.asked) == count)
-        for at in reversed(range(count)):
-            await context.other.send(at)
-        context.all = list(zip(names, await asyncio.gather(*asks), strict=True))
+        names = [f'n{number}' for number in range(count)]
+        calls = [call(context, name) for name in names]
+        await wait_until(lambda: len(context.process.calls) == count)
+        for index in reversed(range(count)):
+            await context.process.reply(index)
+        context.replies = list(zip(names, await asyncio.gather(*calls), strict=True))
 
     run(context, script())
 
 
-@then('each has its own return')
-def own_return(context):
-    assert context.all and all(name == got for name, got in context.all), context.all
+@then('each call has its own reply')
+def own_reply(context):
+    assert context.replies and all(name == reply for name, reply in context.replies), context.replies
 
 
-@when("an asker's link breaks, it asks again on a new link under the same number, and both are answered")
+@when("a caller's link breaks, it calls again on a new link with the same call number, and both are answered")
 def reconnect(context):
     async def script():
-        other = context.other
-        first = ask(context, 'first')
-        await wait_until(lambda: len(other.asked) == 1)
-        old = context.net.links[other.address]
-        old.connection.close()
+        process = context.process
+        first = call(context, 'first')
+        await wait_until(lambda: len(process.calls) == 1)
+        old_link = context.net.links[process.address]
+        old_link.connection.close()
         context.first = await first
-        second = ask(context, 'second')
-        await wait_until(lambda: len(other.asked) == 2)
-        assert other.asked[0][1] == other.asked[1][1], 'the numbers differ'
+        second = call(context, 'second')
+        await wait_until(lambda: len(process.calls) == 2)
+        assert process.calls[0][1] == process.calls[1][1], 'the call numbers differ'
         try:
-            await other.send(0)
+            await process.reply(0)
         except ConnectionError:
             pass
-        await other.send(1)
+        await process.reply(1)
         context.second = await second
 
     run(context, script())
 
 
-@then('the first hears that it is lost, and the second gets its own return')
+@then('the first call fails as lost, and the second gets its own reply')
 def lost_and_own(context):
     assert (context.first, context.second) == ('lost', 'second')
 
 
-@when('two processes are asked under the same number, and the one asked last answers first')
-def two_links(context):
+@when('two processes are called with the same call number, and the one called last answers first')
+def calls_to_two_processes(context):
     async def script():
-        one, two = context.other, HoldingProcess()
-        await two.start()
-        first, second = ask(context, 'first'), ask(context, 'second', process=two)
-        await wait_until(lambda: one.asked and two.asked)
-        assert one.asked[0][1] == two.asked[0][1], 'the numbers differ'
-        await two.send(0)
-        got = await second
-        await one.send(0)
-        context.all = [('first', await first), ('second', got)]
+        first_process, second_process = context.process, HoldingProcess()
+        await second_process.start()
+        first, second = call(context, 'first'), call(context, 'second', process=second_process)
+        await wait_until(lambda: first_process.calls and second_process.calls)
+        assert first_process.calls[0][1] == second_process.calls[0][1], 'the call numbers differ'
+        await second_process.reply(0)
+        second_reply = await second
+        await first_process.reply(0)
+        context.replies = [('first', await first), ('second', second_reply)]
 
     run(context, script())
 
 
-@when('a return is sent twice and under a number of the future')
-def doubled(context):
+@when('a reply is sent twice and with a later call number')
+def repeated_reply(context):
     async def script():
-        other = context.other
-        first = ask(context, 'first')
-        await wait_until(lambda: len(other.asked) == 1)
-        await other.send(0, number=other.asked[0][1] + 1, text='of the future')
-        await other.send(0)
-        await other.send(0)
-        got = [('first', await first)]
-        second = ask(context, 'second')
-        await wait_until(lambda: len(other.asked) == 2)
-        await other.send(0)
-        await other.send(1)
-        got.append(('second', await second))
-        context.all = got
+        process = context.process
+        first = call(context, 'first')
+        await wait_until(lambda: len(process.calls) == 1)
+        await process.reply(0, call_number=process.calls[0][1] + 1, text='later call')
+        await process.reply(0)
+        await process.reply(0)
+        replies = [('first', await first)]
+        second = call(context, 'second')
+        await wait_until(lambda: len(process.calls) == 2)
+        await process.reply(0)
+        await process.reply(1)
+        replies.append(('second', await second))
+        context.replies = replies
 
     run(context, script())
 
 
-@given('a process of ours that records what it is told')
-def recording(context):
-    built(context)
-    context.told = []
+@given('a process that records its messages')
+def recording_process(context):
+    set_up_network(context)
+    context.received = []
 
     async def handler(message):
-        context.told.append(message['name'])
+        context.received.append(message['name'])
         return {'ok': True}
 
     context.address = f'127.0.0.1:{held_port()}'
     run(context, context.net.serve(context.address, handler))
 
 
-@when('a link ends in the middle of a message, and another link sends one whole')
+@when('a link ends in the middle of a message, and another link sends a complete one')
 def cut_message(context):
     async def script():
         host, port = context.address.split(':')
@@ -216,77 +218,77 @@
         writer.write(MAGIC + frame[: len(frame) // 2])
         await writer.drain()
         writer.close()
-        await context.net.ask(context.address, {'name': 'whole'}, PATIENT)
+        await context.net.ask(context.address, {'name': 'whole'}, LONG_TIMEOUT)
         await wait_until(lambda: len(context.net.listener.connections) == 1)
 
     run(context, script())
 
 
-@then('only the whole one was taken')
-def whole_only(context):
-    assert context.told == ['whole'], context.told
+@then('only the complete message was handled')
+def complete_message_only(context):
+    assert context.received == ['whole'], context.received
 
 
-@given('a member that lives where another lived before')
-def newcomer(context):
+@given('a member with the address that another had before')
+def member_at_reused_address(context):
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
-    journal = SimpleNamespace(count=lambda *what: None, note=lambda *what, **facts: None)
+    journal = SimpleNamespace(count=lambda *arguments: None, note=lambda *arguments, **facts: None)
     clock = SimpleNamespace(now=lambda: NOW)
 
     def step(state, event, now):
         if type(event) is not Told:
             return state, ()
-        seen = state.seen + (event.message['name'],)
-        return SimpleNamespace(me=state.me, seen=seen), (Return(event.call, {'ok': True}),)
+        received = state.received + (event.message['name'],)
+        return SimpleNamespace(me=state.me, received=received), (Return(event.call, {'ok': True}),)
 
     ctx = Ctx({'address': '127.0.0.1:1'}, clock, None, None, None, journal, None)
-    context.host = Host(ctx, SimpleNamespace(me='new', seen=()), step, None)
+    context.host = Host(ctx, SimpleNamespace(me='new', received=()), step, None)
 
 
-@when('it is told something for the one before, for itself, and for nobody by name')
-def told_three(context):
+@when('it receives a message for the earlier member, one for itself, and one that names no member')
+def three_messages(context):
     async def script():
-        loop = asyncio.ensure_future(context.host.loop())
-        context.all = [
+        host_task = asyncio.ensure_future(context.host.loop())
+        context.replies = [
             await context.host.told({'name': 'for old', 'to': 'old'}),
             await context.host.told({'name': 'for new', 'to': 'new'}),
             await context.host.told({'name': 'for any'}),
         ]
-        loop.cancel()
+        host_task.cancel()
 
     run(context, script())
 
 
 @then('the first is refused, and only the others reach its state')
-def only_its_own(context):
-    assert [ret.get('fault') for ret in context.all] == ['refused', None, None], context.all
-    assert context.host.state.seen == ('for new', 'for any'), context.host.state.seen
+def only_own_messages(context):
+    assert [reply.get('fault') for reply in context.replies] == ['refused', None, None], context.replies
+    assert context.host.state.received == ('for new', 'for any'), context.host.state.received
 
 
-@when('a store that holds no part is told a command for one')
-def foreign_part(context):
+@when('a store that holds no partition receives a command for one')
+def foreign_partition(context):
     startup = {'address': '127.0.0.1:1', 'zone': 'z', 'seeds': ['127.0.0.1:2']}
     state = store.load('s9', startup, {}, 1, NOW)
-    claim = {'op': 'once_begin', 'key': 'k', 'digest': '', 'run': 'n1', 'until': NOW.timestamp() + 120}
+    command = {'op': 'once_begin', 'key': 'k', 'digest': '', 'run': 'n1', 'until': NOW.timestamp() + 120}
     context.store, context.effects = store.step(
-        state, Told(1, {'k': 'op', 'part': 'p00', 'command': claim}), NOW
+        state, Told(1, {'k': 'op', 'part': 'p00', 'command': command}), NOW
     )
 
 
-@then('it says that the part is elsewhere, and keeps nothing')
+@then('it replies that the partition is elsewhere, and stores nothing')
 def elsewhere(context):
     (effect,) = context.effects
     assert type(effect) is Return and effect.ret['fault'] == 'moved', context.effects
 
 
-# ---- the first packet of a connection is lost
+# ---- the first packet of a connection (SYN) is lost
 
-LOST_LIMIT_S = 3.0
+REQUEST_TIMEOUT_S = 3.0
 
 
-class DarkAddress:
-    """A listening socket whose queue is full: the system drops what else wants to connect, as if it were dark."""
+class UnreachableAddress:
+    """A listening socket whose accept queue is full: the kernel drops the packets of further connections."""
 
     def __init__(self):
         self.listening = socket.socket()
@@ -300,8 +302,8 @@
             filler.connect_ex(self.listening.getsockname())
             self.fillers.append(filler)
 
-    def take_connections(self):
-        """From now on connections are taken; the server on the socket."""
+    def accept_connections(self):
+        """Empty the accept queue and return a server on the socket."""
         for filler in self.fillers:
             filler.close()
         self.listening.setblocking(False)
@@ -322,34 +324,34 @@
         self.listening.close()
 
 
-@given('an address where connections are lost without a word')
-def dark_address(context):
-    context.dark = DarkAddress()
-    context.add_cleanup(context.dark.close)
+@given('an address that drops connection packets')
+def unreachable_address(context):
+    context.unreachable = UnreachableAddress()
+    context.add_cleanup(context.unreachable.close)
 
 
-@when('it is asked, and takes connections {wait:d} ms later')
-def asked_in_the_dark(context, wait):
+@when('it is called, and accepts connections {wait_ms:d} ms later')
+def call_unreachable(context, wait_ms):
     async def script():
         loop, net = asyncio.get_running_loop(), TcpNet()
         start = loop.time()
-        asking = asyncio.ensure_future(
-            net.ask(context.dark.address, {'k': 'who'}, timedelta(seconds=LOST_LIMIT_S))
+        request = asyncio.ensure_future(
+            net.ask(context.unreachable.address, {'k': 'who'}, timedelta(seconds=REQUEST_TIMEOUT_S))
         )
-        await asyncio.sleep(wait / 1000)
-        server = await context.dark.take_connections()
+        await asyncio.sleep(wait_ms / 1000)
+        server = await context.unreachable.accept_connections()
         try:
-            return await asking, loop.time() - start
+            return await request, loop.time() - start
         finally:
             server.close()
             await net.close()
 
-    context.ret, context.took = asyncio.run(script())
+    context.reply, context.took_s = asyncio.run(script())
 
 
 @then(
-    'it answers within {most:d} ms of the asking, though the system alone repeats the first packet after a second'
+    'it answers within {limit_ms:d} ms of the call, though the kernel alone repeats the first packet after a second'
 )
-def met_soon(context, most):
-    assert context.ret == {'ok': True}, context.ret
-    assert context.took * 1000 <= most, context.took
+def reached_soon(context, limit_ms):
+    assert context.reply == {'ok': True}, context.reply
+    assert context.took_s * 1000 <= limit_ms, context.took_s
