--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -314,8 +314,8 @@
             if await reader.readexactly(len(MAGIC)) != MAGIC:
                 return
             (size,) = struct.unpack('>I', await reader.readexactly(4))
-            call, _ = decode_frame(await reader.readexactly(size))
-            writer.write(encode_frame(call, {'ok': True}))
+            call_number, _ = decode_frame(await reader.readexactly(size))
+            writer.write(encode_frame(call_number, {'ok': True}))
             await writer.drain()
         except asyncio.IncompleteReadError:
             pass
--- a/src/quillstall/network/httpserver.py
+++ b/src/quillstall/network/httpserver.py
@@ -159,8 +159,8 @@
         self,
         handler: Handler,
         count: Callable[[str], None],
-        max_header_bytes: int = 65536,
-        max_body_bytes: int = 8 * 1024 * 1024,
+        max_header_size: int = 65536,
+        max_body_size: int = 8 * 1024 * 1024,
         idle_timeout: timedelta = timedelta(seconds=60),
         violated: Callable[..., None] = lambda name, **facts: None,
     ):
@@ -172,21 +172,21 @@
         self.closing = False
         self.server = HTTPServer(
             self,
-            max_header_size=max_header_bytes,
-            max_body_size=max_body_bytes,
-            max_buffer_size=max_body_bytes + max_header_bytes,
+            max_header_size=max_header_size,
+            max_body_size=max_body_size,
+            max_buffer_size=max_body_size + max_header_size,
             idle_connection_timeout=idle_timeout.total_seconds(),
         )
 
-    def set_limits(self, max_header_bytes: int, max_body_bytes: int, idle_timeout: timedelta) -> None:
+    def set_limits(self, max_header_size: int, max_body_size: int, idle_timeout: timedelta) -> None:
         """Apply limits from the next request on each connection: `listener.set_limits(16384, 4096, of_ms(60_000))`.
 
         Open connections share the parameter object, so they follow too: the idle timeout of a connection
         is always the current one.
         """
         parameters = self.server.conn_params
-        parameters.max_header_size = max_header_bytes
-        parameters.max_body_size = max_body_bytes
+        parameters.max_header_size = max_header_size
+        parameters.max_body_size = max_body_size
         parameters.header_timeout = idle_timeout.total_seconds()
 
     def listen(self, address: str) -> None:
--- a/src/quillstall/network/net.py
+++ b/src/quillstall/network/net.py
@@ -78,13 +78,13 @@
     return stream
 
 
-def encode_frame(call: int, message: dict) -> bytes:
+def encode_frame(call_number: int, message: dict) -> bytes:
     """Return one frame: its length, then the call number and the message in CBOR.
 
     >>> decode_frame(encode_frame(3, {'k': 'hi'})[4:])
     (3, {'k': 'hi'})
     """
-    body = cbor2.dumps([call, message])
+    body = cbor2.dumps([call_number, message])
     return LENGTH_PREFIX.pack(len(body)) + body
 
 
@@ -96,12 +96,12 @@
     quillstall.runtime.errors.Fault: garbled: not a frame of ours
     """
     try:
-        call, message = cbor2.loads(body)
+        call_number, message = cbor2.loads(body)
     except Exception as e:
         raise Fault('garbled', 'not a frame of ours') from e
-    if not isinstance(call, int) or not isinstance(message, dict):
+    if not isinstance(call_number, int) or not isinstance(message, dict):
         raise Fault('garbled', 'not a frame of ours')
-    return call, message
+    return call_number, message
 
 
 class FrameDecoder:
@@ -210,10 +210,10 @@
         except (OSError, asyncio.IncompleteReadError):
             return False
 
-    def send(self, call: int, message: dict) -> None:
+    def send(self, call_number: int, message: dict) -> None:
         """Write one frame, unless the connection is closed: `connection.send(1, {'k': 'hi'})`."""
         if not self.closed():
-            self.writer.write(encode_frame(call, message))
+            self.writer.write(encode_frame(call_number, message))
 
     async def drain(self) -> None:
         """Wait until the peer has read enough for more to be written."""
@@ -275,14 +275,14 @@
     async def read_calls(self, connection: Connection) -> None:
         """Start a task for each call until the connection ends. Raises Fault 'garbled' at a malformed frame."""
         while data := await connection.read():
-            for call, message in connection.decoder.feed(data):
-                task = asyncio.ensure_future(self.handle_call(connection, call, message))
+            for call_number, message in connection.decoder.feed(data):
+                task = asyncio.ensure_future(self.handle_call(connection, call_number, message))
                 self.tasks.add(task)
                 task.add_done_callback(self.tasks.discard)
 
-    async def handle_call(self, connection: Connection, call: int, message: dict) -> None:
+    async def handle_call(self, connection: Connection, call_number: int, message: dict) -> None:
         """Handle one call and send its reply."""
-        connection.send(call, await call_handler(self.handler, message))
+        connection.send(call_number, await call_handler(self.handler, message))
         await connection.drain()
 
     def close(self) -> None:
@@ -312,8 +312,8 @@
         try:
             while data := await self.connection.read():
                 self.last_received_at = asyncio.get_running_loop().time()
-                for call, reply in self.connection.decoder.feed(data):
-                    reply_future = self.pending_calls.pop(call, None)
+                for call_number, reply in self.connection.decoder.feed(data):
+                    reply_future = self.pending_calls.pop(call_number, None)
                     if reply_future and not reply_future.done():
                         reply_future.set_result(reply)
         except Fault:
@@ -365,14 +365,14 @@
             async with asyncio.timeout(max(0.0, limit.total_seconds())):
                 link = await self.link(address)
                 link.last_call += 1
-                call = link.last_call
-                reply_future = link.pending_calls[call] = asyncio.get_running_loop().create_future()
+                call_number = link.last_call
+                reply_future = link.pending_calls[call_number] = asyncio.get_running_loop().create_future()
                 sent_at = asyncio.get_running_loop().time()
                 try:
-                    link.connection.send(call, message)
+                    link.connection.send(call_number, message)
                     reply = await reply_future
                 finally:
-                    link.pending_calls.pop(call, None)
+                    link.pending_calls.pop(call_number, None)
         except TimeoutError as e:
             # A link on which nothing came back since the call may be dead without a sign of it: the next
             # call opens another.
--- a/src/quillstall/network/web.py
+++ b/src/quillstall/network/web.py
@@ -19,7 +19,7 @@
 from quillstall.network.net import parse_address
 from quillstall.runtime.errors import Fault
 
-MAX_BODY_BYTES = 1024 * 1024
+MAX_BODY_SIZE = 1024 * 1024  # bytes
 NDJSON = 'application/x-ndjson'
 CONNECT_TIMEOUT_MS = 400
 
@@ -187,13 +187,13 @@
 
     def prepare(self) -> None:
         size = self.request.headers.get('Content-Length', '0')
-        if size.isdigit() and int(size) > MAX_BODY_BYTES:
+        if size.isdigit() and int(size) > MAX_BODY_SIZE:
             self.too_large = True
             self.reject()
 
     def reject(self) -> None:
         """Respond with the fault 'too_big' and close the connection."""
-        fault = Fault('too_big', f'{MAX_BODY_BYTES} bytes at most')
+        fault = Fault('too_big', f'{MAX_BODY_SIZE} bytes at most')
         self.set_status(fault.status)
         self.set_header('Content-Type', 'application/problem+json')
         self.set_header('Connection', 'close')
@@ -203,7 +203,7 @@
         if self.too_large:
             return
         self.body += chunk
-        if len(self.body) > MAX_BODY_BYTES:
+        if len(self.body) > MAX_BODY_SIZE:
             self.too_large = True
 
     def on_connection_close(self) -> None:
@@ -284,7 +284,7 @@
         app = Application(
             [('.*', JsonRequestHandler, {'handler': handler})], log_function=lambda request_handler: None
         )
-        server = HTTPServer(app, max_body_size=64 * MAX_BODY_BYTES, idle_connection_timeout=60)
+        server = HTTPServer(app, max_body_size=64 * MAX_BODY_SIZE, idle_connection_timeout=60)
         server.listen(port, host)
         self.servers.append(server)
 
