--- a/features/steps/platform_folder.py
+++ b/features/steps/platform_folder.py
@@ -11,7 +11,7 @@
 from behave import given, then, when
 from tornado.httputil import HTTPHeaders
 
-from quillstall.network.httpserver import Inbound
+from quillstall.network.httpserver import RawRequest
 from quillstall.testbed.deploy import DEPLOYS
 from quillstall.testbed.sim import World
 from quillstall.testbed.town import Town
@@ -100,7 +100,7 @@
 class RecordedResponse:
     """Records the response to one request."""
 
-    async def whole(self, status, headers, body):
+    async def respond(self, status, headers, body):
         self.status, self.body = status, json.loads(body)
 
 
@@ -117,7 +117,7 @@
         content = body if isinstance(body, bytes) else b'' if body is None else json.dumps(body).encode()
         response = RecordedResponse()
         task = self.town.machines[f'core{core}'].spawn(
-            operator_api(host.ctx, host).serve(Inbound(method, path, headers, content), response)
+            operator_api(host.ctx, host).serve(RawRequest(method, path, headers, content), response)
         )
         async with asyncio.timeout(30):
             await task
--- a/src/quillstall/controlplane/admin_api.py
+++ b/src/quillstall/controlplane/admin_api.py
@@ -53,7 +53,7 @@
         if path == '/metrics' and request.method == 'GET':
             gauges = {'sync_ms': self.ctx.disk.sync_ms or 0.0, 'unsynced': len(self.host.unsynced)}
             data = metrics.exposition(self.ctx.journal.counts, gauges)
-            await response.raw(200, data, metrics.CONTENT_TYPE)
+            await response.respond_bytes(200, data, metrics.CONTENT_TYPE)
             return
         try:
             operation = OPERATIONS.get((request.method, path))
@@ -63,10 +63,10 @@
             reply = await self.handle(operation, request)
         except Fault as e:
             headers = {'Retry-After': '1'} if e.status == 503 else {}
-            await response.whole(e.status, e.problem(path), headers)
+            await response.respond(e.status, e.problem(path), headers)
             return
         generation = reply.get('policy_generation', reply.get('generation'))
-        await response.whole(200, reply, {'ETag': f'"{generation}"'} if generation is not None else {})
+        await response.respond(200, reply, {'ETag': f'"{generation}"'} if generation is not None else {})
 
     async def handle(self, operation: str, request: Any) -> dict:
         """Return the reply to an operation: of this process itself, or of the primary for the policy and members."""
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -7,7 +7,7 @@
 from immutables import Map
 
 from quillstall.controlplane import store_table
-from quillstall.network.packing import with_policy
+from quillstall.network.packing import with_unpacked_policy
 from quillstall.replication import group, register, watch
 from quillstall.replication.group import Grant, Op, ReplicaSet, StartReconfiguration
 from quillstall.replication.register import DEFAULT_LEASE, QuorumRecord
@@ -506,7 +506,7 @@
         )
     if state.fleet_id is not None and reply['fleet'] != state.fleet_id:
         return state._replace(core_index=state.core_index + 1)
-    reply = with_policy(reply)
+    reply = with_unpacked_policy(reply)
     core_addresses = tuple(reply['core'])
     if core_addresses != state.core_addresses or reply['fleet'] != state.fleet_id:
         effects.append(
