--- a/src/quillstall/testbed/sabotage.py
+++ b/src/quillstall/testbed/sabotage.py
@@ -1,4 +1,5 @@
-"""Sabotage: rules broken on purpose, to show that the judge sees it. Each is a patch of one function."""
+"""Deliberate faults for the simulator. Each patches functions at run time so that one rule is broken, to show
+that the checks of a simulated run find it."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -19,170 +20,172 @@
 
 @contextmanager
 def skip_backup() -> Iterator[None]:
-    """A primary answers when its own disk has the changes, whatever the backup says."""
-    send = group.send_batch
+    """A primary replies once the changes are on its own disk, without the confirmation of its backup."""
+    original = group.send_batch
 
-    def alone(context: Any, part: str) -> None:
-        send(context, part)
-        copy = context.copy(part)
+    def send_batch(context: Any, partition: str) -> None:
+        original(context, partition)
+        copy = context.copy(partition)
         if copy.batch:
             context.put(copy._replace(batch=copy.batch._replace(awaiting=())))
-            group.finish_batch(context, part)
+            group.finish_batch(context, partition)
 
-    with patch.object(group, 'send_batch', alone):
+    with patch.object(group, 'send_batch', send_batch):
         yield
 
 
 @contextmanager
 def old_epoch() -> Iterator[None]:
-    """A member confirms a frame of an epoch that it knows to be over."""
-    tell = group.handle_message
+    """A member confirms a batch or a hello of an epoch that it knows to have ended."""
+    original = group.handle_message
 
-    def polite(context: Any, event: Told) -> None:
-        m = event.message
-        copy = context.copy(m['part'])
+    def handle_message(context: Any, event: Told) -> None:
+        message = event.message
+        copy = context.copy(message['part'])
         if (
-            m['k'] in ('frame', 'hello')
+            message['k'] in ('frame', 'hello')
             and copy
             and copy.replica_set
-            and copy.replica_set.epoch > m['seat'][0]
+            and copy.replica_set.epoch > message['seat'][0]
         ):
-            context.effects.append(Return(event.call, {'ok': True, 'seq': m.get('seq', 0), 'tail': []}))
+            context.effects.append(Return(event.call, {'ok': True, 'seq': message.get('seq', 0), 'tail': []}))
             return
-        tell(context, event)
+        original(context, event)
 
-    with patch.object(group, 'handle_message', polite):
+    with patch.object(group, 'handle_message', handle_message):
         yield
 
 
 @contextmanager
 def deaf() -> Iterator[None]:
-    """A core takes no word of newer seats from others. By itself this breaks no rule: the fence
-    is the backup's epoch, not the news."""
+    """A core process ignores newer replica sets that others report. Alone this breaks no rule, since the fence is
+    the epoch that the backup checks, not these reports."""
 
-    def nothing(state: Any, fleet: dict, seat: Any, call: Any, now: Any, out: list) -> Any:
+    def ignore_fleet(state: Any, fleet: dict, replica_set: Any, call: Any, now: Any, effects: list) -> Any:
         if call is not None:
-            out.append(Return(call, {'ok': True}))
+            effects.append(Return(call, {'ok': True}))
         return state
 
-    real = ballot.handle_reply
+    original = ballot.handle_reply
 
-    def lost(*more: Any) -> tuple:
-        run, effects, events = real(*more)
-        return run, effects, events if run.stage in ('move', 'won') else ()
+    def handle_reply(*arguments: Any) -> tuple:
+        campaign, effects, events = original(*arguments)
+        return campaign, effects, events if campaign.stage in ('move', 'won') else ()
 
-    with patch.object(core, 'learn_fleet', nothing), patch.object(ballot, 'handle_reply', lost):
+    with patch.object(core, 'learn_fleet', ignore_fleet), patch.object(ballot, 'handle_reply', handle_reply):
         yield
 
 
 @contextmanager
 def skip_recheck() -> Iterator[None]:
-    """Nothing is asked again at dequeue, and nothing hopeless is taken out."""
+    """The time left is not checked again at dequeue, and tasks that cannot end in time stay in the queue."""
 
-    def never(state: Any, task: Any) -> timedelta:
+    def negative_time(state: Any, task: Any) -> timedelta:
         return timedelta(hours=-1)
 
-    real = reducer.step
-    shown = service_time.expected
+    original = reducer.step
+    original_expected = service_time.expected
 
     def step(state: Any, event: Any, now: Any) -> Any:
-        name = 'arrive' if isinstance(event, Arrive) else ''
-        with patch.object(service_time, 'expected', shown if name else never):
-            return real(state, event, now)
+        kind = 'arrive' if isinstance(event, Arrive) else ''
+        with patch.object(service_time, 'expected', original_expected if kind else negative_time):
+            return original(state, event, now)
 
     with (
         patch.object(reducer, 'step', step),
-        patch.object(service_time, 'expected', never),
-        patch.object(service_time, 'required_time', lambda state, task, replica: never(state, task)),
-        patch.object(waiting, 'overtaken', lambda *more: []),
+        patch.object(service_time, 'expected', negative_time),
+        patch.object(service_time, 'required_time', lambda state, task, replica: negative_time(state, task)),
+        patch.object(waiting, 'overtaken', lambda *arguments: []),
     ):
         yield
 
 
 @contextmanager
 def keep_lease() -> Iterator[None]:
-    """A routing node sends whether or not its lease has run out."""
+    """A routing node sends new work even after its lease has expired."""
     with patch.object(admission_state, 'leased', lambda state, now: bool(state.policy)):
         yield
 
 
 @contextmanager
 def forget_begun() -> Iterator[None]:
-    """Once-work is run whatever is kept under its key."""
+    """A keyed operation runs whatever is recorded under its idempotency key."""
 
-    async def fresh(self: Any, *more: Any) -> bool:
+    async def claim(self: Any, *arguments: Any) -> bool:
         return False
 
-    with patch.object(Node, 'claim', fresh):
+    with patch.object(Node, 'claim', claim):
         yield
 
 
 @contextmanager
 def spend_freely() -> Iterator[None]:
-    """A program's open holds do not count."""
-    begin = store_table.begin
+    """Reserved tokens do not count against a program's token budget."""
+    original = store_table.begin
 
-    def free(rows: Any, c: dict, now: Any) -> Any:
-        return begin(rows, {**c, 'budget': None}, now)
+    def begin(rows: Any, command: dict, now: Any) -> Any:
+        return original(rows, {**command, 'budget': None}, now)
 
-    with patch.dict(store_table.OPS, {'begin': free}):
+    with patch.dict(store_table.OPS, {'begin': begin}):
         yield
 
 
 @contextmanager
 def early_ack() -> Iterator[None]:
-    """A policy is acknowledged without waiting for the routing nodes."""
+    """A policy change is acknowledged without waiting for the stores or the routing nodes."""
 
-    def at_once(state: Any, now: Any, out: list) -> Any:
-        out.extend(Return(w.call, w.reply) for w in state.pending_changes)
+    def acknowledge_changes(state: Any, now: Any, effects: list) -> Any:
+        effects.extend(Return(change.call, change.reply) for change in state.pending_changes)
         return state._replace(pending_changes=())
 
-    with patch.object(leases, 'acknowledge_changes', at_once):
+    with patch.object(leases, 'acknowledge_changes', acknowledge_changes):
         yield
 
 
 @contextmanager
 def renew_minority() -> Iterator[None]:
-    """A routing node renews its lease by the word of any store."""
+    """A routing node renews its lease on the answer of any one store, without a quorum."""
 
-    def any_word(known: dict, words: dict) -> tuple:
-        known, best = agreed(known, words)
-        return known, best or max(words.values(), key=lambda w: w.version, default=None)
+    def read_any(known: dict, records: dict) -> tuple:
+        known, newest = original(known, records)
+        return known, newest or max(records.values(), key=lambda record: record.version, default=None)
 
-    agreed = register.read_quorum
-    with patch.object(register, 'read_quorum', any_word):
+    original = register.read_quorum
+    with patch.object(register, 'read_quorum', read_any):
         yield
 
 
 @contextmanager
 def ack_minority() -> Iterator[None]:
-    """A policy is acknowledged whether or not a majority of the stores has it."""
+    """A policy change is acknowledged whether or not a majority of the stores has it on disk."""
     with patch.object(leases, 'on_store_majority', lambda state, generation: True):
         yield
 
 
 @contextmanager
 def deaf_old_epoch() -> Iterator[None]:
-    """All fences of a primary that wakes are gone: the news, the backup's epoch, and the stores' majority,
-    each of which would do."""
+    """None of the three fences against a primary that resumes after a pause works: reports of newer replica sets,
+    the epoch that the backup checks, and the majority of the stores. Any one of them is enough."""
     with deaf(), old_epoch(), ack_minority():
         yield
 
 
 @contextmanager
 def forget_renewed() -> Iterator[None]:
-    """Stores do not tell the core which leases they have renewed."""
+    """Stores do not report to the core which leases they have renewed."""
     with patch.object(store, 'running_leases', lambda state, now: []):
         yield
 
 
 @contextmanager
 def newest_renewal() -> Iterator[None]:
-    """Stores keep in mind only the newest lease of each routing node."""
-    all_leases = store.running_leases
+    """Stores report only the newest lease of each routing node."""
+    original = store.running_leases
 
     def newest_only(state: Any, now: Any) -> list[list]:
-        newest = {node: [node, generation, age] for node, generation, age in all_leases(state, now)}
+        newest = {
+            node: [node, generation, remaining_ms] for node, generation, remaining_ms in original(state, now)
+        }
         return list(newest.values())
 
     with patch.object(store, 'running_leases', newest_only):
@@ -191,170 +194,170 @@
 
 @contextmanager
 def forget_restart() -> Iterator[None]:
-    """A store that starts again counts nothing for the leases that it renewed before."""
-    load = store.load
+    """A store forgets on restart that leases which it renewed before may still be valid."""
+    original = store.load
 
-    def forgetful(*more: Any) -> Any:
-        return load(*more)._replace(renewed_leases=Map())
+    def load(*arguments: Any) -> Any:
+        return original(*arguments)._replace(renewed_leases=Map())
 
-    with patch.object(store, 'load', forgetful):
+    with patch.object(store, 'load', load):
         yield
 
 
 @contextmanager
 def settable_clock() -> Iterator[None]:
-    """The core judges by its wall clock whether the leases that it gave have run out."""
-    steady = leases.nodes_under_old_leases
+    """The core uses its wall clock, which can be set, to decide whether leases that it granted have expired."""
+    original = leases.nodes_under_old_leases
 
-    def settable(state: Any, generation: int, now: Any) -> list[str]:
-        return steady(state, generation, now + state.wall_ahead)
+    def by_wall_clock(state: Any, generation: int, now: Any) -> list[str]:
+        return original(state, generation, now + state.wall_ahead)
 
-    with patch.object(leases, 'nodes_under_old_leases', settable):
+    with patch.object(leases, 'nodes_under_old_leases', by_wall_clock):
         yield
 
 
 @contextmanager
 def no_greeting() -> Iterator[None]:
-    """Nobody tells a process with old seeds where the fleet is."""
+    """No process sends hello messages, so one with outdated seeds does not learn where the fleet is."""
 
-    def silent(state: Any, now: Any, out: list) -> Any:
+    def send_nothing(state: Any, now: Any, effects: list) -> Any:
         return state
 
-    with patch.object(core, 'send_hello', silent), patch.object(store, 'send_hello', silent):
+    with patch.object(core, 'send_hello', send_nothing), patch.object(store, 'send_hello', send_nothing):
         yield
 
 
 @contextmanager
 def lost_is_unsent() -> Iterator[None]:
-    """A round whose answer was lost counts as one that was never sent."""
-    real = Node.attempt_turn
+    """An attempt whose answer was lost counts as one that was never sent, so it is retried."""
+    original = Node.attempt_turn
 
-    async def unsent(self: Any, *more: Any) -> Any:
+    async def attempt_turn(self: Any, *arguments: Any) -> Any:
         try:
-            async for item in real(self, *more):
+            async for item in original(self, *arguments):
                 yield item
-        except Fault as e:
-            if e.code in ('lost', 'slow', 'replica_failed'):
-                raise Fault('unreachable', e.text) from e
+        except Fault as error:
+            if error.code in ('lost', 'slow', 'replica_failed'):
+                raise Fault('unreachable', error.text) from error
             raise
 
-    with patch.object(Node, 'attempt_turn', unsent):
+    with patch.object(Node, 'attempt_turn', attempt_turn):
         yield
 
 
 @contextmanager
 def hold_refusals() -> Iterator[None]:
-    """A refusal is held back until the deadline is over, so that its caller does not ask again."""
-    real = Node.admit
+    """A refusal is delayed until after the deadline, so that the caller does not retry."""
+    original = Node.admit
 
-    async def held(self: Any, task: Any, gone: Any, retry: bool = False) -> str:
+    async def admit(self: Any, task: Any, disconnected: Any, retry: bool = False) -> str:
         try:
-            return await real(self, task, gone, retry)
-        except Fault as e:
+            return await original(self, task, disconnected, retry)
+        except Fault as error:
             await self.ctx.clock.sleep(task.deadline - self.ctx.clock.now() + timedelta(seconds=1))
-            raise e
+            raise error
 
-    with patch.object(Node, 'admit', held):
+    with patch.object(Node, 'admit', admit):
         yield
 
 
 @contextmanager
 def one_key() -> Iterator[None]:
-    """Once-records are kept by path, whatever the key and the body."""
-    real = Node.call_store
+    """Records of keyed operations are stored by path, whatever the idempotency key and the body."""
+    original = Node.call_store
 
-    async def short(self: Any, key: str, command: dict, *more: Any) -> dict:
+    async def call_store(self: Any, key: str, command: dict, *arguments: Any) -> dict:
         if command['op'].startswith('once'):
             command = {**command, 'key': command['key'].partition(' ')[0], 'digest': ''}
-        return await real(self, key.partition(' ')[0], command, *more)
+        return await original(self, key.partition(' ')[0], command, *arguments)
 
-    with patch.object(Node, 'call_store', short):
+    with patch.object(Node, 'call_store', call_store):
         yield
 
 
 @contextmanager
 def copy_nothing() -> Iterator[None]:
-    """The core's backup confirms flights whose changes it was not sent."""
-    real = group.send_batch
+    """The core's backup is sent batches without their changes, and confirms them."""
+    original = group.send_batch
 
-    def hollow(context: Any, part: str) -> None:
-        real(context, part)
-        if part == 'core':
-            ask = context.effects.pop()
-            context.effects.append(ask._replace(message={**ask.message, 'changes': (), 'first': 0}))
+    def send_batch(context: Any, partition: str) -> None:
+        original(context, partition)
+        if partition == 'core':
+            request = context.effects.pop()
+            context.effects.append(request._replace(message={**request.message, 'changes': (), 'first': 0}))
 
-    with patch.object(group, 'send_batch', hollow):
+    with patch.object(group, 'send_batch', send_batch):
         yield
 
 
 @contextmanager
 def cut_is_end() -> Iterator[None]:
-    """A stream that breaks off counts as one that has ended."""
-    real = Node.next_item
+    """A response stream that is cut off counts as complete."""
+    original = Node.next_item
 
-    async def ends(self: Any, flow: Any, span: Any, gone: Any) -> tuple:
-        if getattr(flow, 'cut_off', False):
+    async def next_item(self: Any, exchange: Any, timeout: Any, disconnected: Any) -> tuple:
+        if getattr(exchange, 'cut_off', False):
             return ('end', None)
-        item = await real(self, flow, span, gone)
+        item = await original(self, exchange, timeout, disconnected)
         if item[0] == 'end' and item[1] == 'lost':
-            flow.cut_off = True
+            exchange.cut_off = True
             return ('line', {'done': True})
         return item
 
-    with patch.object(Node, 'next_item', ends):
+    with patch.object(Node, 'next_item', next_item):
         yield
 
 
-def rounds(change: Any) -> Any:
-    """A break that changes the pieces of each round."""
+def alter_answers(alter: Any) -> Any:
+    """Return a fault that passes the pieces of each attempt's answer through `alter(pieces, task_name)`."""
 
     @contextmanager
-    def way() -> Iterator[None]:
-        real = Node.attempt_turn
+    def fault() -> Iterator[None]:
+        original = Node.attempt_turn
 
-        async def changed(self: Any, *more: Any) -> Any:
-            async for item in change(real(self, *more), more[1].name):
+        async def attempt_turn(self: Any, *arguments: Any) -> Any:
+            async for item in alter(original(self, *arguments), arguments[1].name):
                 yield item
 
-        with patch.object(Node, 'attempt_turn', changed):
+        with patch.object(Node, 'attempt_turn', attempt_turn):
             yield
 
-    return way
+    return fault
 
 
-async def gap(pieces: Any, name: str) -> Any:
+async def drop_second_piece(pieces: Any, task_name: str) -> Any:
     """The second piece of each answer is lost."""
-    n = 0
+    count = 0
     async for item in pieces:
-        n += 1
-        if n != 2:
+        count += 1
+        if count != 2:
             yield item
 
 
-async def double(pieces: Any, name: str) -> Any:
-    """The second piece of each answer comes twice."""
-    n = 0
+async def duplicate_second_piece(pieces: Any, task_name: str) -> Any:
+    """The second piece of each answer is delivered twice."""
+    count = 0
     async for item in pieces:
-        n += 1
+        count += 1
         yield item
-        if n == 2:
+        if count == 2:
             yield item
 
 
-def joiner() -> Any:
-    """The pieces of a round that failed go before those of the next."""
-    seen: dict[str, list] = {}
+def join_attempts() -> Any:
+    """The pieces of a failed attempt are delivered before those of the task's next attempt."""
+    failed: dict[str, list] = {}
 
-    async def join(pieces: Any, name: str) -> Any:
-        for item in seen.pop(name, []):
+    async def join(pieces: Any, task_name: str) -> Any:
+        for item in failed.pop(task_name, []):
             yield item
-        mine: list = []
+        received: list = []
         try:
             async for item in pieces:
-                mine.append(item)
+                received.append(item)
                 yield item
         except Fault:
-            seen[name] = mine
+            failed[task_name] = received
             raise
 
     return join
@@ -362,115 +365,118 @@
 
 @contextmanager
 def sweep_early() -> Iterator[None]:
-    """What is kept is swept ten minutes before its time."""
-    real = store_table.sweep
+    """Stored rows are swept ten minutes before they expire."""
+    original = store_table.sweep
 
-    def early(rows: Any, c: dict, now: Any) -> Any:
-        return real(rows, c, now + timedelta(minutes=10, seconds=5))
+    def sweep(rows: Any, command: dict, now: Any) -> Any:
+        return original(rows, command, now + timedelta(minutes=10, seconds=5))
 
-    with patch.dict(store_table.OPS, {'sweep': early}):
+    with patch.dict(store_table.OPS, {'sweep': sweep}):
         yield
 
 
 @contextmanager
 def trust_clocks() -> Iterator[None]:
-    """What is kept is swept by the sweeper's clock alone, as if all clocks agreed."""
+    """Expired rows are swept by the local clock with no allowance for clock skew."""
     with patch.object(store_table, 'SKEW_S', 0):
         yield
 
 
 @contextmanager
 def ignore_disk() -> Iterator[None]:
-    """A process takes a write that its disk did not take for one that was synced."""
+    """A process treats a write that its disk did not accept as synced."""
     from quillstall.testbed.sim import SimDisk
 
-    real = SimDisk.write
+    original = SimDisk.write
 
-    async def shrug(self: Any, puts: tuple) -> None:
+    async def write(self: Any, puts: tuple) -> None:
         if not (self.machine.full or self.machine.refusing or self.machine.hung):
-            await real(self, puts)
+            await original(self, puts)
 
-    with patch.object(SimDisk, 'write', shrug):
+    with patch.object(SimDisk, 'write', write):
         yield
 
 
 @contextmanager
 def ignore_leaving() -> Iterator[None]:
-    """Routing nodes do not hear that a replica leaves."""
-    real = reducer.core_update
+    """Routing nodes are not told that a replica is leaving."""
+    original = reducer.core_update
 
-    def deafened(state: Any, event: Any, now: Any, out: list) -> Any:
-        return real(state, event._replace(reply={**event.reply, 'leaving': []}), now, out)
+    def core_update(state: Any, event: Any, now: Any, effects: list) -> Any:
+        return original(state, event._replace(reply={**event.reply, 'leaving': []}), now, effects)
 
-    with patch.object(reducer, 'core_update', deafened):
+    with patch.object(reducer, 'core_update', core_update):
         yield
 
 
 @contextmanager
 def take_invalid() -> Iterator[None]:
-    """The core checks no policy."""
+    """The core accepts a policy without validating it."""
     with patch.object(core_table, 'check', lambda body: []):
         yield
 
 
 @contextmanager
 def losing_applies() -> Iterator[None]:
-    """A policy that loses against another is refused, and put in force all the same."""
-    real = core_table.put_policy
+    """A policy change that conflicts with an earlier one is refused, and yet applied."""
+    original = core_table.put_policy
 
-    def both(rows: Any, c: dict, now: Any) -> Any:
+    def put_policy(rows: Any, command: dict, now: Any) -> Any:
         try:
-            return real(rows, c, now)
-        except Fault as e:
-            if e.code != 'conflict':
+            return original(rows, command, now)
+        except Fault as error:
+            if error.code != 'conflict':
                 raise
-            changes, _ = real(rows, {**c, 'base': None, 'id': None}, now)
-            return changes, e.pack()
+            changes, _ = original(rows, {**command, 'base': None, 'id': None}, now)
+            return changes, error.pack()
 
-    with patch.dict(core_table.OPS, {'apply': both}):
+    with patch.dict(core_table.OPS, {'apply': put_policy}):
         yield
 
 
 @contextmanager
 def take_older() -> Iterator[None]:
-    """A routing node takes whatever generation comes last."""
-    real = reducer.core_update
+    """A routing node applies the policy that arrives last, even of an older generation."""
+    original = reducer.core_update
 
-    def any_age(state: Any, event: Any, now: Any, out: list) -> Any:
+    def core_update(state: Any, event: Any, now: Any, effects: list) -> Any:
         if event.reply['generation'] < state.generation and event.reply.get('policy'):
             state = state._replace(generation=event.reply['generation'] - 1, epoch=0)
-        return real(state, event, now, out)
+        return original(state, event, now, effects)
 
-    with patch.object(reducer, 'core_update', any_age):
+    with patch.object(reducer, 'core_update', core_update):
         yield
 
 
-class Anything(dict):
-    """A table that knows every name.
+class MatchesAnyKey(dict):
+    """A mapping whose get() returns its first value for a missing key.
 
-    >>> Anything(a=1).get('b')
+    >>> MatchesAnyKey(a=1).get('b')
     1
     """
 
-    def get(self, key: Any, other: Any = None) -> Any:
+    def get(self, key: Any, default: Any = None) -> Any:
         return super().get(key) or next(iter(self.values()))
 
 
 @contextmanager
 def any_service() -> Iterator[None]:
-    """A routing node passes on calls to paths that no policy names."""
-    real = reducer.core_update
+    """A routing node forwards calls to services and paths that the policy does not list."""
+    original = reducer.core_update
 
-    def wide(state: Any, event: Any, now: Any, out: list) -> Any:
+    def core_update(state: Any, event: Any, now: Any, effects: list) -> Any:
         policy = event.reply.get('policy')
         if policy:
-            services = Anything(
-                {n: {**s, 'paths': Anything(s['paths'])} for n, s in policy['services'].items()}
+            services = MatchesAnyKey(
+                {
+                    name: {**service, 'paths': MatchesAnyKey(service['paths'])}
+                    for name, service in policy['services'].items()
+                }
             )
             event = event._replace(reply={**event.reply, 'policy': {**policy, 'services': services}})
-        return real(state, event, now, out)
+        return original(state, event, now, effects)
 
-    with patch.object(reducer, 'core_update', wide):
+    with patch.object(reducer, 'core_update', core_update):
         yield
 
 
@@ -480,9 +486,9 @@
     'one_key': one_key,
     'copy_nothing': copy_nothing,
     'cut_is_end': cut_is_end,
-    'gap': rounds(gap),
-    'double': rounds(double),
-    'join': rounds(joiner()),
+    'gap': alter_answers(drop_second_piece),
+    'double': alter_answers(duplicate_second_piece),
+    'join': alter_answers(join_attempts()),
     'sweep_early': sweep_early,
     'ignore_disk': ignore_disk,
     'trust_clocks': trust_clocks,
