--- a/src/quillstall/testbed/model/breaks.py
+++ b/src/quillstall/testbed/model/breaks.py
@@ -1,4 +1,5 @@
-"""Deliberate faults: each breaks one rule of the real reducers at run time, and the checker must find it."""
+"""Deliberate faults for the model checker. Each patches the reducers at run time so that one rule is broken,
+which the checker must find."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -15,54 +16,54 @@
 
 @contextmanager
 def return_before_backups() -> Iterator[None]:
-    """A primary answers when its own disk has the changes, whatever its backups say."""
-    real = group.send_batch
+    """A primary replies once the changes are on its own disk, without the confirmation of its backups."""
+    original = group.send_batch
 
-    def send(context: StepContext, part: str) -> None:
-        real(context, part)
-        batch = context.copy(part).batch
+    def send_batch(context: StepContext, partition: str) -> None:
+        original(context, partition)
+        batch = context.copy(partition).batch
         if batch:
-            context.put(context.copy(part)._replace(batch=batch._replace(awaiting=())))
-            group.finish_batch(context, part)
+            context.put(context.copy(partition)._replace(batch=batch._replace(awaiting=())))
+            group.finish_batch(context, partition)
 
-    with patch.object(group, 'send_batch', send):
+    with patch.object(group, 'send_batch', send_batch):
         yield
 
 
 @contextmanager
 def return_before_own_disk() -> Iterator[None]:
-    """A primary answers when its backups have the changes, whatever its own disk says."""
-    real = group.Batch
+    """A primary replies once its backups have confirmed the changes, before its own disk has synced them."""
+    original = group.Batch
 
-    def flight(*values: Any, **named: Any) -> Any:
-        return real(*values, **{**named, 'synced': True})
+    def synced_batch(*arguments: Any, **keywords: Any) -> Any:
+        return original(*arguments, **{**keywords, 'synced': True})
 
-    with patch.object(group, 'Batch', flight):
+    with patch.object(group, 'Batch', synced_batch):
         yield
 
 
 @contextmanager
 def accept_old_session() -> Iterator[None]:
-    """A backup takes the frames of an earlier session."""
-    real = group.handle_message
+    """A backup applies the batches of an earlier session."""
+    original = group.handle_message
 
-    def tell(context: StepContext, event: Told) -> None:
+    def handle_message(context: StepContext, event: Told) -> None:
         copy, message = context.copy(event.message['part']), event.message
         if message['k'] == 'frame' and copy:
-            first = min(message['first'], copy.seq)
-            event = event._replace(message={**message, 'session': copy.session, 'first': first})
-        real(context, event)
+            first_seq = min(message['first'], copy.seq)
+            event = event._replace(message={**message, 'session': copy.session, 'first': first_seq})
+        original(context, event)
 
-    with patch.object(group, 'handle_message', tell):
+    with patch.object(group, 'handle_message', handle_message):
         yield
 
 
 @contextmanager
 def accept_old_epoch() -> Iterator[None]:
-    """A member confirms what comes under an epoch that it knows to be over."""
-    real = group.handle_message
+    """A member confirms a batch or a hello of an epoch that it knows to have ended."""
+    original = group.handle_message
 
-    def tell(context: StepContext, event: Told) -> None:
+    def handle_message(context: StepContext, event: Told) -> None:
         message, copy = event.message, context.copy(event.message['part'])
         if (
             message['k'] in ('frame', 'hello')
@@ -72,208 +73,215 @@
         ):
             context.effects.append(Return(event.call, {'ok': True, 'seq': message.get('seq', 0), 'tail': []}))
             return
-        real(context, event)
+        original(context, event)
 
-    with patch.object(group, 'handle_message', tell):
+    with patch.object(group, 'handle_message', handle_message):
         yield
 
 
 @contextmanager
 def skip_seal() -> Iterator[None]:
-    """The leader of a move goes on confirming the epoch that the move ends."""
-    real = group.continue_reconfiguration
+    """The member that leads a reconfiguration goes on confirming batches of the epoch that it has sealed."""
+    original = group.continue_reconfiguration
 
-    def after(context: StepContext, part: str) -> None:
-        real(context, part)
-        copy = context.copy(part)
+    def continue_reconfiguration(context: StepContext, partition: str) -> None:
+        original(context, partition)
+        copy = context.copy(partition)
         if copy.sealed and copy.reconfiguration:
             context.put(copy._replace(sealed=False))
 
-    with patch.object(group, 'continue_reconfiguration', after):
+    with patch.object(group, 'continue_reconfiguration', continue_reconfiguration):
         yield
 
 
 @contextmanager
 def forget_seal() -> Iterator[None]:
-    """The seal is not kept on the disk."""
-    real = group.metadata_row
+    """The seal of an epoch is not stored on disk, so a restart loses it."""
+    original = group.metadata_row
 
-    with patch.object(group, 'metadata_row', lambda copy: real(copy._replace(sealed=False))):
+    with patch.object(group, 'metadata_row', lambda copy: original(copy._replace(sealed=False))):
         yield
 
 
 @contextmanager
 def forget_seat() -> Iterator[None]:
-    """The disk keeps the rows and not the newest replica set."""
-    real = group.metadata_row
+    """The disk stores the rows but not the newest replica set."""
+    original = group.metadata_row
 
-    def mark(copy: Copy) -> Any:
-        return real(copy._replace(replica_set=ReplicaSet(1, 0, 'a', 'b')) if copy.replica_set else copy)
+    def metadata_row(copy: Copy) -> Any:
+        return original(copy._replace(replica_set=ReplicaSet(1, 0, 'a', 'b')) if copy.replica_set else copy)
 
-    with patch.object(group, 'metadata_row', mark):
+    with patch.object(group, 'metadata_row', metadata_row):
         yield
 
 
 @contextmanager
 def propose_early() -> Iterator[None]:
-    """The leader of a move asks for the new replica set before the joiner has the last changes, and the joiner
-    does not see that some are missing."""
-    real, real_tell = group.continue_reconfiguration, group.handle_message
+    """The member that leads a reconfiguration proposes the new replica set before the joiner has the last changes,
+    and the joiner does not detect that some are missing."""
+    original, original_handle_message = group.continue_reconfiguration, group.handle_message
 
-    def after(context: StepContext, part: str) -> None:
-        copy = context.copy(part)
+    def continue_reconfiguration(context: StepContext, partition: str) -> None:
+        copy = context.copy(partition)
         if (
             copy.reconfiguration
             and copy.reconfiguration.stage in ('follow', 'last')
             and not copy.reconfiguration.request_pending
         ):
             context.put(copy._replace(reconfiguration=copy.reconfiguration._replace(sent_seq=copy.seq)))
-        real(context, part)
+        original(context, partition)
 
-    def tell(context: StepContext, event: Told) -> None:
+    def handle_message(context: StepContext, event: Told) -> None:
         if event.message['k'] == 'follow':
             event = event._replace(message={**event.message, 'first': 0})
-        real_tell(context, event)
+        original_handle_message(context, event)
 
-    with patch.object(group, 'continue_reconfiguration', after), patch.object(group, 'handle_message', tell):
+    with (
+        patch.object(group, 'continue_reconfiguration', continue_reconfiguration),
+        patch.object(group, 'handle_message', handle_message),
+    ):
         yield
 
 
 @contextmanager
 def skip_fill() -> Iterator[None]:
-    """The leader of a move asks for the new replica set without bringing the joiner up."""
-    real = group.continue_reconfiguration
+    """The member that leads a reconfiguration proposes the new replica set without sending the joiner a snapshot
+    or the changes since."""
+    original = group.continue_reconfiguration
 
-    def after(context: StepContext, part: str) -> None:
-        copy = context.copy(part)
+    def continue_reconfiguration(context: StepContext, partition: str) -> None:
+        copy = context.copy(partition)
         if copy.reconfiguration and copy.reconfiguration.stage == 'fill':
             context.put(copy._replace(reconfiguration=copy.reconfiguration._replace(stage='propose')))
-            context.effects.append(Propose(part, tuple(copy.reconfiguration.replica_set)))
+            context.effects.append(Propose(partition, tuple(copy.reconfiguration.replica_set)))
             return
-        real(context, part)
+        original(context, partition)
 
-    with patch.object(group, 'continue_reconfiguration', after):
+    with patch.object(group, 'continue_reconfiguration', continue_reconfiguration):
         yield
 
 
 @contextmanager
 def always_fit() -> Iterator[None]:
-    """A member takes a place in a replica set whatever its copy holds, and is not brought up before."""
-    with skip_fill(), patch.object(group, 'is_eligible', lambda me, copy, seat: seat.includes(me)):
+    """A member joins a replica set whatever its copy holds, and is not brought up to date first."""
+    with (
+        skip_fill(),
+        patch.object(group, 'is_eligible', lambda me, copy, replica_set: replica_set.includes(me)),
+    ):
         yield
 
 
 @contextmanager
 def joiner_keeps_rows() -> Iterator[None]:
-    """A joiner that has rows of an earlier time keeps them in place of the image."""
-    real = group.receive_fill
-
-    def fill(context: StepContext, event: Told, copy: Copy | None) -> None:
-        real(context, event, copy)
-        now = context.copy(event.message['part'])
-        if copy and copy.rows and now.has_all_rows:
-            context.put(now._replace(rows=copy.rows))
+    """A joiner that still holds outdated rows keeps them in place of the snapshot."""
+    original = group.receive_fill
+
+    def receive_fill(context: StepContext, event: Told, copy: Copy | None) -> None:
+        original(context, event, copy)
+        filled = context.copy(event.message['part'])
+        if copy and copy.rows and filled.has_all_rows:
+            context.put(filled._replace(rows=copy.rows))
             puts = tuple(group.Put(copy.partition, key, value) for key, value in copy.rows.items())
             context.effects[-1] = context.effects[-1]._replace(puts=context.effects[-1].puts + puts)
 
-    with patch.object(group, 'receive_fill', fill):
+    with patch.object(group, 'receive_fill', receive_fill):
         yield
 
 
 @contextmanager
 def joiner_drops_changes() -> Iterator[None]:
-    """A joiner confirms the changes since its image without taking them."""
-    real = group.handle_message
+    """A joiner confirms the changes since its snapshot without applying them."""
+    original = group.handle_message
 
-    def tell(context: StepContext, event: Told) -> None:
+    def handle_message(context: StepContext, event: Told) -> None:
         if event.message['k'] == 'follow':
             event = event._replace(message={**event.message, 'changes': (), 'first': 0})
-        real(context, event)
+        original(context, event)
 
-    with patch.object(group, 'handle_message', tell):
+    with patch.object(group, 'handle_message', handle_message):
         yield
 
 
 @contextmanager
 def confirm_before_sync() -> Iterator[None]:
-    """A backup confirms before its disk has the changes."""
-    real = group.handle_message
+    """A backup confirms a batch before its disk has synced the changes."""
+    original = group.handle_message
 
-    def tell(context: StepContext, event: Told) -> None:
-        real(context, event)
+    def handle_message(context: StepContext, event: Told) -> None:
+        original(context, event)
         if event.message['k'] == 'frame' and any(
-            type(e) is Write and e.tag[3] == 'told' for e in context.effects
+            type(effect) is Write and effect.tag[3] == 'told' for effect in context.effects
         ):
             context.effects.append(Return(event.call, {'ok': True}))
 
-    with patch.object(group, 'handle_message', tell):
+    with patch.object(group, 'handle_message', handle_message):
         yield
 
 
 @contextmanager
 def read_without_backups() -> Iterator[None]:
-    """A primary answers reads without asking its backups whether it still leads."""
-    real = group.send_batch
+    """A primary answers reads without confirming with its backups that it is still primary."""
+    original = group.send_batch
 
-    def send(context: StepContext, part: str) -> None:
-        copy = context.copy(part)
+    def send_batch(context: StepContext, partition: str) -> None:
+        copy = context.copy(partition)
         if copy.batch.changes:
-            real(context, part)
+            original(context, partition)
             return
         context.put(copy._replace(batch=copy.batch._replace(awaiting=())))
-        group.finish_batch(context, part)
+        group.finish_batch(context, partition)
 
-    with patch.object(group, 'send_batch', send):
+    with patch.object(group, 'send_batch', send_batch):
         yield
 
 
 @contextmanager
 def return_on_grant() -> Iterator[None]:
-    """A primary that is given a new replica set answers what was still being confirmed."""
-    real = group.apply_grant
+    """A primary that is granted a new replica set replies to commands whose batch is not yet confirmed."""
+    original = group.apply_grant
 
-    def grant(context: StepContext, part: str, seat: ReplicaSet) -> None:
-        copy = context.copy(part)
-        if copy and copy.batch and copy.replica_set.epoch < seat.epoch:
-            context.effects.extend(Done(item.tag, item.reply) for item in copy.batch.commands)
+    def apply_grant(context: StepContext, partition: str, replica_set: ReplicaSet) -> None:
+        copy = context.copy(partition)
+        if copy and copy.batch and copy.replica_set.epoch < replica_set.epoch:
+            context.effects.extend(Done(command.tag, command.reply) for command in copy.batch.commands)
             context.put(copy._replace(batch=None))
-        real(context, part, seat)
+        original(context, partition, replica_set)
 
-    with patch.object(group, 'apply_grant', grant):
+    with patch.object(group, 'apply_grant', apply_grant):
         yield
 
 
 @contextmanager
 def ignore_longer_tail() -> Iterator[None]:
-    """A primary that has restarted does not take what a backup has beyond its own disk."""
-    real = group.synchronize_backups
+    """A restarted primary does not take over changes that a backup has beyond the end of its own log."""
+    original = group.synchronize_backups
 
-    def agree(context: StepContext, part: str) -> None:
-        copy = context.copy(part)
+    def synchronize_backups(context: StepContext, partition: str) -> None:
+        copy = context.copy(partition)
         backup_positions = Map(
             {name: (min(seq, copy.seq), ()) for name, (seq, _) in copy.backup_positions.items()}
         )
         context.put(copy._replace(backup_positions=backup_positions))
-        real(context, part)
+        original(context, partition)
 
-    with patch.object(group, 'synchronize_backups', agree):
+    with patch.object(group, 'synchronize_backups', synchronize_backups):
         yield
 
 
 @contextmanager
 def forget_repeats() -> Iterator[None]:
-    """A change that is sent again is made again."""
-    with patch.object(core_table, 'recorded_answer', lambda rows, c: None):
+    """A change that is sent again with the same request id is applied again."""
+    with patch.object(core_table, 'recorded_answer', lambda rows, command: None):
         yield
 
 
 @contextmanager
 def ignore_base() -> Iterator[None]:
-    """A change is made whatever it was based on."""
-    real = core_table.put_policy
+    """A change is applied whatever generation it is based on."""
+    original = core_table.put_policy
 
-    def put_policy(rows: Map, c: dict, now: Any) -> tuple:
-        return real(rows, {**c, 'base': None}, now)
+    def put_policy(rows: Map, command: dict, now: Any) -> tuple:
+        return original(rows, {**command, 'base': None}, now)
 
     with patch.dict(core_table.OPS, {'apply': put_policy}):
         yield
@@ -281,131 +289,139 @@
 
 @contextmanager
 def begin_again() -> Iterator[None]:
-    """Unrepeatable work is begun whatever is kept under its key."""
-    real = store_table.OPS['once_begin']
+    """A keyed operation is begun whatever is recorded under its idempotency key."""
+    original = store_table.OPS['once_begin']
 
-    with patch.dict(store_table.OPS, {'once_begin': lambda rows, c, now: real(Map(), c, now)}):
+    with patch.dict(
+        store_table.OPS, {'once_begin': lambda rows, command, now: original(Map(), command, now)}
+    ):
         yield
 
 
 @contextmanager
 def grant_any_base() -> Iterator[None]:
-    """The authority grants a replica set whichever it follows."""
-    real = core_table.grant_replica_set
+    """The authority grants a replica set even if it does not succeed the one in force."""
+    original = core_table.grant_replica_set
 
-    def seat(rows: Map, c: dict, now: Any) -> tuple:
-        have = tuple(rows[f'part/{c["part"]}'])
-        epoch, _, *names = c['seat']
-        if epoch <= have[0] and names != list(have[2:]):
-            return (), {'ok': True, 'seat': [have[0] + 1, epoch - 1, *names]}
-        return real(rows, c, now)
+    def grant_replica_set(rows: Map, command: dict, now: Any) -> tuple:
+        current = tuple(rows[f'part/{command["part"]}'])
+        epoch, _, *members = command['seat']
+        if epoch <= current[0] and members != list(current[2:]):
+            return (), {'ok': True, 'seat': [current[0] + 1, epoch - 1, *members]}
+        return original(rows, command, now)
 
-    with patch.object(core_table, 'grant_replica_set', seat):
+    with patch.object(core_table, 'grant_replica_set', grant_replica_set):
         yield
 
 
 @contextmanager
 def promise_before_sync() -> Iterator[None]:
-    """A voter answers before its disk has its promise."""
-    real = ballot.vote
+    """An acceptor replies before its promise is on disk."""
+    original = ballot.vote
 
-    def cast(voter: Any, told: Told) -> tuple:
-        voter, effects = real(voter, told)
+    def vote(acceptor: Any, told: Told) -> tuple:
+        acceptor, effects = original(acceptor, told)
         if type(effects[0]) is Write:
             effects += ballot.reply_after_write(Wrote(effects[0].tag))
-        return voter, effects
+        return acceptor, effects
 
-    with patch.object(ballot, 'vote', cast):
+    with patch.object(ballot, 'vote', vote):
         yield
 
 
 @contextmanager
 def forget_promise() -> Iterator[None]:
-    """A voter's disk keeps what it accepted and not what it promised."""
-    real = ballot.acceptor_row
+    """An acceptor stores on disk what it accepted but not what it promised."""
+    original = ballot.acceptor_row
 
-    def save(voter: Any) -> Any:
-        return real(voter._replace(promised=voter.replica_set[0] if voter.replica_set else 0))
+    def acceptor_row(acceptor: Any) -> Any:
+        return original(acceptor._replace(promised=acceptor.replica_set[0] if acceptor.replica_set else 0))
 
-    with patch.object(ballot, 'acceptor_row', save):
+    with patch.object(ballot, 'acceptor_row', acceptor_row):
         yield
 
 
 @contextmanager
 def accept_lower() -> Iterator[None]:
-    """A voter accepts a replica set of a lower epoch than it has promised."""
-    real = ballot.vote
+    """An acceptor accepts a replica set of a lower epoch than it has promised."""
+    original = ballot.vote
 
-    def cast(voter: Any, told: Told) -> tuple:
+    def vote(acceptor: Any, told: Told) -> tuple:
         if told.message['k'] == 'accept':
-            voter = voter._replace(promised=0)
-        return real(voter, told)
+            acceptor = acceptor._replace(promised=0)
+        return original(acceptor, told)
 
-    with patch.object(ballot, 'vote', cast):
+    with patch.object(ballot, 'vote', vote):
         yield
 
 
 @contextmanager
 def vote_twice() -> Iterator[None]:
-    """A voter gives its ballot of one epoch to every candidate."""
-    real = ballot.vote
+    """An acceptor votes for every candidate of the same epoch."""
+    original = ballot.vote
 
-    def cast(voter: Any, told: Told) -> tuple:
-        if told.message['k'] == 'ballot' and told.message['epoch'] == voter.promised:
-            voter = voter._replace(promised=voter.promised - 1)
-        return real(voter, told)
+    def vote(acceptor: Any, told: Told) -> tuple:
+        if told.message['k'] == 'ballot' and told.message['epoch'] == acceptor.promised:
+            acceptor = acceptor._replace(promised=acceptor.promised - 1)
+        return original(acceptor, told)
 
-    with patch.object(ballot, 'vote', cast):
+    with patch.object(ballot, 'vote', vote):
         yield
 
 
 @contextmanager
 def ignore_newest() -> Iterator[None]:
-    """A candidate goes on from its own replica set, whatever newer one the voters know."""
-    real = ballot.handle_reply
+    """A candidate proposes the successor of its own replica set, ignoring a newer one that acceptors report."""
+    original = ballot.handle_reply
 
-    def heard(run: Any, event: Any, *more: Any) -> tuple:
+    def handle_reply(campaign: Any, event: Any, *arguments: Any) -> tuple:
         if event.ret and event.ret.get('seat'):
             event = event._replace(ret={**event.ret, 'seat': None})
-        return real(run, event, *more)
+        return original(campaign, event, *arguments)
 
-    with patch.object(ballot, 'handle_reply', heard):
+    with patch.object(ballot, 'handle_reply', handle_reply):
         yield
 
 
 @contextmanager
 def grant_what_one_accepted() -> Iterator[None]:
-    """A candidate takes a replica set that one voter has accepted for one that was granted."""
-    real = ballot.handle_reply
-
-    def heard(run: Any, event: Any, me: str, crews: tuple, own: Any, *more: Any) -> tuple:
-        ret = event.ret or {}
-        if ret.get('seat') and event.tag[2] == 'ask' and own and ret['seat'][0] > own.epoch:
-            return ballot.fail_round(run, more[-1]), (), (group.Grant('core', ReplicaSet(*ret['seat'])),)
-        return real(run, event, me, crews, own, *more)
-
-    with patch.object(ballot, 'handle_reply', heard):
+    """A candidate treats a replica set that a single acceptor has accepted as granted."""
+    original = ballot.handle_reply
+
+    def handle_reply(
+        campaign: Any, event: Any, me: str, configurations: tuple, own: Any, *arguments: Any
+    ) -> tuple:
+        reply = event.ret or {}
+        if reply.get('seat') and event.tag[2] == 'ask' and own and reply['seat'][0] > own.epoch:
+            return (
+                ballot.fail_round(campaign, arguments[-1]),
+                (),
+                (group.Grant('core', ReplicaSet(*reply['seat'])),),
+            )
+        return original(campaign, event, me, configurations, own, *arguments)
+
+    with patch.object(ballot, 'handle_reply', handle_reply):
         yield
 
 
 @contextmanager
 def show_unconfirmed() -> Iterator[None]:
-    """The core tells of changes that are still being confirmed."""
-    real = core.finish_command
+    """The core answers with changes that its backups have not yet confirmed."""
+    original = core.finish_command
 
-    def done(state: Any, effect: Done, *more: Any) -> Any:
+    def finish_command(state: Any, effect: Done, *arguments: Any) -> Any:
         if 'rows' in effect.ret:
             newest = core_state.core_copy(state).rows
             effect = effect._replace(ret={**effect.ret, 'rows': newest})
-        return real(state, effect, *more)
+        return original(state, effect, *arguments)
 
-    with patch.object(core, 'finish_command', done):
+    with patch.object(core, 'finish_command', finish_command):
         yield
 
 
 @contextmanager
 def fill_again() -> Iterator[None]:
-    """A joiner that has all it needs for its seat is emptied by a late piece of an image."""
+    """A late piece of a snapshot clears a joiner that has already caught up for its replica set."""
     with patch.object(group, 'has_caught_up', lambda copy, message: False):
         yield
 
@@ -414,8 +430,10 @@
 def half_is_enough() -> Iterator[None]:
     """Half of the voters count as a majority."""
 
-    def most(names: tuple, crews: tuple) -> bool:
-        return all(sum(1 for n, _ in crew if n in names) * 2 >= len(crew) for crew in crews)
+    def at_least_half(names: tuple, configurations: tuple) -> bool:
+        return all(
+            sum(1 for name, _ in voters if name in names) * 2 >= len(voters) for voters in configurations
+        )
 
-    with patch.object(ballot, 'is_majority', most):
+    with patch.object(ballot, 'is_majority', at_least_half):
         yield
