--- a/src/quillstall/testbed/model/catalogue.py
+++ b/src/quillstall/testbed/model/catalogue.py
@@ -1,4 +1,4 @@
-"""The deliberate faults, each with a cluster in which it shows and a written run that shows it."""
+"""The deliberate faults of the model checker, each with a cluster and a scripted run that reveal it."""
 
 from collections.abc import Callable
 from contextlib import AbstractContextManager
@@ -8,12 +8,12 @@
 from quillstall.testbed.model.clusters import CLUSTERS
 from quillstall.testbed.model.state import Limits, Setup, World
 
-ANYTHING = Limits(commands=9, crashes=9, losses=2, verdicts=9, ticks=99, timeouts=99, duplicates=9)
-COMMANDS = ('write', 'put', 'read', 'repeat', 'begin')
+SCRIPT_LIMITS = Limits(commands=9, crashes=9, losses=2, verdicts=9, ticks=99, timeouts=99, duplicates=9)
+COMMAND_KINDS = ('write', 'put', 'read', 'repeat', 'begin')
 
 
 class Break(NamedTuple):
-    """A deliberate fault.
+    """A deliberate fault, and the run that reveals it.
 
     >>> BREAKS['half_is_enough'].setup.core
     True
@@ -21,16 +21,17 @@
 
     patch: Callable[[], AbstractContextManager]
     cluster: str
-    run: str  # steps, as script.py reads them
+    steps: str  # separated by semicolons, in the syntax of script.py
 
     @property
     def setup(self) -> Setup:
         return CLUSTERS[self.cluster]
 
     def play(self) -> World:
-        """The world after the written run, as far as its steps may come: `BREAKS['skip_seal'].play()`."""
-        setup = self.setup._replace(limits=ANYTHING, kinds=COMMANDS, lone_verdicts=True)
-        return script.play(setup, self.run.split(';'), strict=False)
+        """Return the world after the scripted run, skipping steps that are impossible:
+        `BREAKS['skip_seal'].play()`."""
+        setup = self.setup._replace(limits=SCRIPT_LIMITS, kinds=COMMAND_KINDS, lone_verdicts=True)
+        return script.play(setup, self.steps.split(';'), strict=False)
 
 
 BREAKS = {
