--- a/features/steps/callers.py
+++ b/features/steps/callers.py
@@ -11,7 +11,7 @@
 from datetime import timedelta
 
 from behave import given, then, when
-from common import held_port, lone_core_settings
+from common import lone_core_settings, reserve_port
 
 from quillstall.network.web import CurlWeb, fetch
 from quillstall.runtime.disk import Put, SqliteDisk
@@ -23,7 +23,7 @@
 
 
 def make_small_fleet():
-    port = held_port()
+    port = reserve_port()
     replica_specs = replicas('127.0', port, 1, 6, 1, 6, prefill_per_s=200_000, step_ms=10)
     base = hipotecalc('127.0', port)
     policy = {**base.policy, 'pools': pools(replica_specs)}
@@ -394,7 +394,7 @@
 @when('a process is started with {what}')
 def start_process(context, what):
     folder = tempfile.mkdtemp()
-    port = held_port()
+    port = reserve_port()
     data = os.path.join(folder, 'data')
     os.mkdir(data)
     settings = lone_core_settings(data, port)
--- a/features/steps/catching_up.py
+++ b/features/steps/catching_up.py
@@ -60,11 +60,11 @@
         elif kind is Return:
             sender, request = self.pending_calls.pop(effect.call, (None, None))
             if sender and (name, sender) not in self.cuts:
-                self.events.append((sender, Heard(request.tag, effect.ret)))
+                self.events.append((sender, Heard(request.tag, effect.reply)))
         elif kind is Done:
-            self.replies[effect.tag] = effect.ret
+            self.replies[effect.tag] = effect.reply
         elif kind is Propose:
-            self.proposed.append(effect.seat)
+            self.proposed.append(effect.replica_set)
 
     def deliver(self, name, request):
         if (name, request.to) in self.delayed:
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -15,7 +15,7 @@
 
 from quillstall.network.net import MAGIC, TcpNet, pack, unpack
 from quillstall.network.web import CurlWeb, fetch
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.disk import Put, SqliteDisk
 from quillstall.runtime.errors import Fault
 from quillstall.testbed.sim import World
@@ -48,7 +48,7 @@
 HELD = []
 
 
-def held_port():
+def reserve_port():
     """The first of four ports on every IP number of loopback that are ours until this process ends.
 
     They lie outside the ports that the system gives to outgoing connections: one of those could else take a port
@@ -108,7 +108,7 @@
             return
 
         async def main():
-            port = held_port()
+            port = reserve_port()
             web_port, none = port + 1, port + 2
             there, here = TcpNet(self.count), TcpNet()
             server, client = CurlWeb(4), CurlWeb(300)
@@ -169,7 +169,7 @@
 @then('a return comes back to the one that asked')
 def echo(context):
     async def script(net, web, there, door, none, kill):
-        assert await net.ask(there, {'k': 'echo', 'x': [1, 'a', b'b', None]}, of_ms(2000)) == {
+        assert await net.ask(there, {'k': 'echo', 'x': [1, 'a', b'b', None]}, from_ms(2000)) == {
             'x': [1, 'a', b'b', None]
         }
 
@@ -179,7 +179,9 @@
 @then('many asks at once each get their own return')
 def many(context):
     async def script(net, web, there, door, none, kill):
-        got = await asyncio.gather(*[net.ask(there, {'k': 'echo', 'x': n}, of_ms(5000)) for n in range(200)])
+        got = await asyncio.gather(
+            *[net.ask(there, {'k': 'echo', 'x': n}, from_ms(5000)) for n in range(200)]
+        )
         assert [g['x'] for g in got] == list(range(200))
 
     context.pair.run(script)
@@ -189,7 +191,7 @@
 def fault(context):
     async def script(net, web, there, door, none, kill):
         try:
-            await net.ask(there, {'k': 'fault'}, of_ms(2000))
+            await net.ask(there, {'k': 'fault'}, from_ms(2000))
         except Fault as e:
             assert (e.code, e.text, e.findings, e.wait_ms) == ('shed', 'full', (('a.b', 'is bad'),), 70)
             return
@@ -209,7 +211,7 @@
 @then('nobody listening is told as "unreachable"')
 def unreachable(context):
     async def script(net, web, there, door, none, kill):
-        assert await code_of(net.ask(none, {'k': 'echo', 'x': 1}, of_ms(2000))) == 'unreachable'
+        assert await code_of(net.ask(none, {'k': 'echo', 'x': 1}, from_ms(2000))) == 'unreachable'
 
     context.pair.run(script)
 
@@ -217,7 +219,7 @@
 @then('no return in time is told as "slow"')
 def slow(context):
     async def script(net, web, there, door, none, kill):
-        assert await code_of(net.ask(there, {'k': 'hang'}, of_ms(100))) == 'slow'
+        assert await code_of(net.ask(there, {'k': 'hang'}, from_ms(100))) == 'slow'
 
     context.pair.run(script)
 
@@ -225,8 +227,8 @@
 @then('a peer that ends in the middle is told as "lost"')
 def lost(context):
     async def script(net, web, there, door, none, kill):
-        work = asyncio.ensure_future(code_of(net.ask(there, {'k': 'hang'}, of_ms(5000))))
-        while not await net.ask(there, {'k': 'echo', 'x': 1}, of_ms(2000)):
+        work = asyncio.ensure_future(code_of(net.ask(there, {'k': 'hang'}, from_ms(5000))))
+        while not await net.ask(there, {'k': 'echo', 'x': 1}, from_ms(2000)):
             pass
         await kill()
         assert await work == 'lost'
@@ -237,7 +239,7 @@
 @then('a message the handler cannot read is told as "garbled"')
 def garbled(context):
     async def script(net, web, there, door, none, kill):
-        assert await code_of(net.ask(there, {'k': 'other'}, of_ms(2000))) == 'garbled'
+        assert await code_of(net.ask(there, {'k': 'other'}, from_ms(2000))) == 'garbled'
 
     context.pair.run(script)
 
@@ -261,7 +263,7 @@
             writer.write(data)
             assert await reader.read() == b''
             writer.close()
-        assert await net.ask(there, {'k': 'echo', 'x': 1}, of_ms(2000)) == {'x': 1}
+        assert await net.ask(there, {'k': 'echo', 'x': 1}, from_ms(2000)) == {'x': 1}
 
     context.pair.run(script)
     assert context.pair.counts == {'net.stranger': 1, 'net.garbled': 2}, context.pair.counts
@@ -280,7 +282,7 @@
 @then('lines arrive in order and the end is told')
 def lines(context):
     async def script(net, web, there, door, none, kill):
-        got = await drink(web.open(door, 'GET', '/lines', limit=of_ms(3000)))
+        got = await drink(web.open(door, 'GET', '/lines', limit=from_ms(3000)))
         assert got[0][:2] == ('head', 200) and got[0][2]['x-a'] == 'b', got
         assert [x[1]['n'] for x in got if x[0] == 'line'] == [0, 1, 2, 3, 4]
         assert got[-1] == ('end', None)
@@ -291,7 +293,7 @@
 @then('an answer that breaks off is told as "lost"')
 def breaks(context):
     async def script(net, web, there, door, none, kill):
-        got = await drink(web.open(door, 'GET', '/break', limit=of_ms(3000)))
+        got = await drink(web.open(door, 'GET', '/break', limit=from_ms(3000)))
         assert got[-1] == ('end', 'lost'), got
 
     context.pair.run(script)
@@ -300,7 +302,7 @@
 @then('nobody serving is told as "unreachable"')
 def unserved(context):
     async def script(net, web, there, door, none, kill):
-        got = await drink(web.open(none, 'GET', '/', limit=of_ms(3000)))
+        got = await drink(web.open(none, 'GET', '/', limit=from_ms(3000)))
         assert got == [('end', 'unreachable')], got
 
     context.pair.run(script)
@@ -309,12 +311,12 @@
 @then('a caller that cuts is seen by the server at once')
 def cuts(context):
     async def script(net, web, there, door, none, kill):
-        flow = web.open(door, 'GET', '/hang', limit=of_ms(60_000))
+        flow = web.open(door, 'GET', '/hang', limit=from_ms(60_000))
         while (await flow.next())[0] != 'line':
             pass
         flow.cut()
         for _ in range(400):
-            _, body, _ = await fetch(web, door, 'GET', '/asked', limit=of_ms(3000))
+            _, body, _ = await fetch(web, door, 'GET', '/asked', limit=from_ms(3000))
             if body['gone']:
                 return
         raise AssertionError('the server did not see it')
@@ -466,12 +468,12 @@
                 call, message = unpack(await reader.readexactly(size))
                 writer.write(pack(call, {'ok': message['k']}))
 
-        port = held_port()
+        port = reserve_port()
         server = await asyncio.start_server(serve, '127.0.0.1', port)
         net, out = TcpNet(lambda what: context.counts.update({what: context.counts.get(what, 0) + 1})), []
         for _ in range(4):
             try:
-                out.append(await net.ask(f'127.0.0.1:{port}', {'k': 'hi'}, of_ms(200)))
+                out.append(await net.ask(f'127.0.0.1:{port}', {'k': 'hi'}, from_ms(200)))
             except Fault as e:
                 out.append(e.code)
         await net.close()
@@ -495,7 +497,7 @@
 
 def lone_core_settings(data, port=None, **more):
     """The settings of a core, the only one of three that is there."""
-    port = port or held_port()
+    port = port or reserve_port()
     return {
         'name': 'c',
         'role': 'core',
--- a/features/steps/copies.py
+++ b/features/steps/copies.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from quillstall.controlplane import core_state
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.errors import Fault
 from quillstall.testbed.deploy import DEPLOYS, machines
 from quillstall.testbed.sim import World
@@ -282,7 +282,7 @@
                 town.hand.net.ask(
                     old.address,
                     {'k': 'op', 'part': p, 'to': old.me, 'command': {'op': 'confirm'}},
-                    of_ms(3000),
+                    from_ms(3000),
                 )
             )
             for p in led_before
--- a/features/steps/disks.py
+++ b/features/steps/disks.py
@@ -17,7 +17,7 @@
 
 from quillstall.controlplane import store
 from quillstall.replication.register import QuorumRecord
-from quillstall.runtime.disk import ASIDE, FILE, CorruptFile, Put, SqliteDisk
+from quillstall.runtime.disk import CORRUPT_SUFFIX, DATABASE_FILE, CorruptFile, Put, SqliteDisk
 from quillstall.runtime.effect import Heard, Tick, Write, Wrote
 from quillstall.testbed.town import play
 
@@ -88,8 +88,8 @@
     async def script():
         disk = context.disk = SqliteDisk(context.folder)
         await disk.open()
-        pages = disk.base.execute('pragma page_count').fetchone()[0]
-        disk.base.execute(f'pragma max_page_count={pages}')
+        pages = disk.connection.execute('pragma page_count').fetchone()[0]
+        disk.connection.execute(f'pragma max_page_count={pages}')
 
         async def write(number, *puts):
             await disk.write(puts)
@@ -110,7 +110,7 @@
 
 @when('its database may grow again')
 def allow_growth(context):
-    context.disk.base.execute('pragma max_page_count=1000000')
+    context.disk.connection.execute('pragma max_page_count=1000000')
 
 
 @then('they complete in the order in which they were issued, and a restart finds all of their rows')
@@ -130,7 +130,7 @@
     async def script():
         disk = SqliteDisk(context.folder)
         await disk.open()
-        disk.base = context.failing_commits = FailingCommits(disk.base, failures)
+        disk.connection = context.failing_commits = FailingCommits(disk.connection, failures)
         await disk.write(tuple(Put('p', f'k{n}', n) for n in range(count)))
         await disk.close()
         context.rows = await read_rows(context.folder)
@@ -173,7 +173,7 @@
         await disk.close()
 
     asyncio.run(script())
-    path = os.path.join(context.folder, FILE)
+    path = os.path.join(context.folder, DATABASE_FILE)
     size = os.path.getsize(path)
     with open(path, 'r+b') as file:
         file.seek(size // 2)
@@ -211,12 +211,14 @@
         disk = SqliteDisk(source_folder)
         await disk.open()
         await disk.write((Put('p', 'first', 1),))
-        shutil.copy(os.path.join(source_folder, FILE), os.path.join(folder, FILE + ASIDE))
-        shutil.copy(os.path.join(source_folder, FILE + '-wal'), folder)
+        shutil.copy(
+            os.path.join(source_folder, DATABASE_FILE), os.path.join(folder, DATABASE_FILE + CORRUPT_SUFFIX)
+        )
+        shutil.copy(os.path.join(source_folder, DATABASE_FILE + '-wal'), folder)
         await disk.close()
 
     asyncio.run(script())
-    assert os.path.getsize(os.path.join(folder, FILE + '-wal')) > 0
+    assert os.path.getsize(os.path.join(folder, DATABASE_FILE + '-wal')) > 0
 
 
 @then('it opens empty')
@@ -259,7 +261,7 @@
     data = os.path.join(folder, 'data')
     os.mkdir(data)
     context.corrupt_bytes = os.urandom(5000)
-    with open(os.path.join(data, FILE), 'wb') as file:
+    with open(os.path.join(data, DATABASE_FILE), 'wb') as file:
         file.write(context.corrupt_bytes)
     settings_path = os.path.join(folder, 'settings.json')
     settings = lone_core_settings(data)
@@ -267,7 +269,7 @@
         json.dump(settings, file)
     context.first_run = run_core(folder, settings_path)
     context.second_run = run_core(folder, settings_path)
-    with open(os.path.join(data, FILE + ASIDE), 'rb') as file:
+    with open(os.path.join(data, DATABASE_FILE + CORRUPT_SUFFIX), 'rb') as file:
         context.set_aside_bytes = file.read()
 
 
@@ -320,7 +322,7 @@
 
         async def send_message():
             start = town.world.now()
-            reply = await host.told(message)
+            reply = await host.handle(message)
             replies.append((start, reply.get('fault')))
 
         machine.hung = True
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 
 from behave import given, then, when
-from common import held_port
+from common import reserve_port
 
 from quillstall.controlplane import doctor
 from quillstall.controlplane.main import ask
@@ -32,7 +32,7 @@
         self.run(self.open(name, wires))
 
     async def open(self, name, wires):
-        self.fleet = Fleet(DEPLOYS[name]('127.0', held_port()), wires=wires)
+        self.fleet = Fleet(DEPLOYS[name]('127.0', reserve_port()), wires=wires)
         try:
             await self.fleet.open()
         except BaseException:
--- a/features/steps/gateway_leaving.py
+++ b/features/steps/gateway_leaving.py
@@ -6,7 +6,7 @@
 from behave import then, when
 from gateway import SOON_S, runs_of_request
 from gateway_turns import not_retained, settled
-from standin import EVENT_TOKENS, of_ms, send_request, sse_event, wait_until
+from standin import EVENT_TOKENS, from_ms, send_request, sse_event, wait_until
 
 from quillstall.dataplane.admission.messages import Arrive, News
 
@@ -25,7 +25,7 @@
         cluster.proceed.release()
         await context.exchange.read_head()
         await context.exchange.read_chunk()
-        context.drained = asyncio.ensure_future(cluster.nodes[0].drain(of_ms(8000)))
+        context.drained = asyncio.ensure_future(cluster.nodes[0].drain(from_ms(8000)))
         await asyncio.sleep(0)
         context.ready = await (await send_request(cluster.address(1, 'ready'), 'GET', '/', {})).read_all()
 
@@ -75,7 +75,7 @@
         headers |= {'Idempotency_Key': 'k'} if path.startswith('/keyed/') else {}
         exchange = await cluster.begin_request(path, request_id='s1', **headers)
         await wait_until(lambda: runs_of_request(cluster, 's1'))
-        drained = asyncio.ensure_future(cluster.nodes[0].drain(of_ms(ms)))
+        drained = asyncio.ensure_future(cluster.nodes[0].drain(from_ms(ms)))
         context.response = await exchange.read_all()
         context.stopped_before = drained.done()
         await drained
@@ -93,7 +93,7 @@
         cluster.plan.extend(['silent', 'silent'])
         first = await cluster.begin_request('/once/y', request_id='s1')
         await wait_until(lambda: runs_of_request(cluster, 's1'))
-        drained = asyncio.ensure_future(cluster.nodes[0].drain(of_ms(ms)))
+        drained = asyncio.ensure_future(cluster.nodes[0].drain(from_ms(ms)))
         await asyncio.sleep(after / 1000)
         context.response = await cluster.request(path, request_id='s2')
         context.stopped_before = drained.done()
--- a/features/steps/losses.py
+++ b/features/steps/losses.py
@@ -11,7 +11,7 @@
 from quillstall.dataplane.admission import admission_state
 from quillstall.replication import group, register
 from quillstall.replication.group import ReplicaSet
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.effect import Tick, Told, Write, Wrote
 from quillstall.runtime.errors import Fault
 from quillstall.testbed.sim import World
@@ -379,7 +379,7 @@
         if machine and town.machines[machine].up:
             message = {'k': 'op', 'part': partition, 'command': command}
             try:
-                reply = await town.hand.net.ask(town.startups[machine]['address'], message, of_ms(300))
+                reply = await town.hand.net.ask(town.startups[machine]['address'], message, from_ms(300))
                 return reply['state'], machine
             except Fault:
                 pass
@@ -666,7 +666,7 @@
             operation = {'op': 'end', 'program': partition, 'turn': f'{partition}.{turn}', 'used': 1}
             command = {**operation, 'keep': content, 'keeping_s': 600}
             message = {'k': 'op', 'part': partition, 'to': replica_set[2], 'command': command}
-            reply = await town.hand.net.ask(addresses[replica_set[2]], message, of_ms(3000))
+            reply = await town.hand.net.ask(addresses[replica_set[2]], message, from_ms(3000))
             assert reply.get('ok'), reply
 
 
--- a/features/steps/mechanisms.py
+++ b/features/steps/mechanisms.py
@@ -12,7 +12,7 @@
 from quillstall.dataplane.admission.admission_state import Pool, ServiceTime, State, Task
 from quillstall.dataplane.admission.messages import Decision, Health, Load
 from quillstall.dataplane.gateway import Gateway
-from quillstall.runtime.clock import ms, of_ms
+from quillstall.runtime.clock import from_ms, ms
 from quillstall.runtime.effect import Tick
 
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
@@ -124,7 +124,7 @@
         node=SimpleNamespace(state=state), ctx=SimpleNamespace(clock=SimpleNamespace(now=lambda: NOW))
     )
     task = Task('t', 'r', 'c', POOL, 1, None, NOW)
-    context.wait = Gateway.attempt_deadline(gateway, task, NOW + of_ms(left_ms)) - NOW
+    context.wait = Gateway.attempt_deadline(gateway, task, NOW + from_ms(left_ms)) - NOW
 
 
 @then('it tries another replica after {wait_ms:d} ms')
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -7,18 +7,18 @@
 from types import SimpleNamespace
 
 from behave import given, then, when
-from common import held_port
+from common import reserve_port
 from standin import wait_until
 
 from quillstall.controlplane import store
 from quillstall.network.net import MAGIC, TcpNet, pack, unpack
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.effect import Return, Told
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx, Host
+from quillstall.runtime.process import Context, ReducerRunner
 
-GIVE_UP = of_ms(150)
-PATIENT = of_ms(3000)
+GIVE_UP = from_ms(150)
+PATIENT = from_ms(3000)
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
 
 
@@ -27,7 +27,7 @@
 
     def __init__(self):
         self.asked = []  # (stream, number, message), in order
-        self.address = f'127.0.0.1:{held_port()}'
+        self.address = f'127.0.0.1:{reserve_port()}'
 
     async def start(self):
         host, port = self.address.split(':')
@@ -203,7 +203,7 @@
         context.told.append(message['name'])
         return {'ok': True}
 
-    context.address = f'127.0.0.1:{held_port()}'
+    context.address = f'127.0.0.1:{reserve_port()}'
     run(context, context.net.serve(context.address, handler))
 
 
@@ -240,8 +240,8 @@
         seen = state.seen + (event.message['name'],)
         return SimpleNamespace(me=state.me, seen=seen), (Return(event.call, {'ok': True}),)
 
-    ctx = Ctx({'address': '127.0.0.1:1'}, clock, None, None, None, journal, None)
-    context.host = Host(ctx, SimpleNamespace(me='new', seen=()), step, None)
+    ctx = Context({'address': '127.0.0.1:1'}, clock, None, None, None, journal, None)
+    context.host = ReducerRunner(ctx, SimpleNamespace(me='new', seen=()), step, None)
 
 
 @when('it is told something for the one before, for itself, and for nobody by name')
@@ -249,9 +249,9 @@
     async def script():
         loop = asyncio.ensure_future(context.host.loop())
         context.all = [
-            await context.host.told({'name': 'for old', 'to': 'old'}),
-            await context.host.told({'name': 'for new', 'to': 'new'}),
-            await context.host.told({'name': 'for any'}),
+            await context.host.handle({'name': 'for old', 'to': 'old'}),
+            await context.host.handle({'name': 'for new', 'to': 'new'}),
+            await context.host.handle({'name': 'for any'}),
         ]
         loop.cancel()
 
@@ -277,7 +277,7 @@
 @then('it says that the part is elsewhere, and keeps nothing')
 def elsewhere(context):
     (effect,) = context.effects
-    assert type(effect) is Return and effect.ret['fault'] == 'moved', context.effects
+    assert type(effect) is Return and effect.reply['fault'] == 'moved', context.effects
 
 
 # ---- the first packet of a connection is lost
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -712,7 +712,7 @@
         self.state, effects = core.step(self.state, event, self.now)
         for effect in effects:
             if type(effect) is Return:
-                self.returns[effect.call] = effect.ret
+                self.returns[effect.call] = effect.reply
             elif type(effect) is Write:
                 self.event(Wrote(effect.tag))
             elif type(effect) is Ask and effect.message['k'] == 'hello':
--- a/features/steps/path.py
+++ b/features/steps/path.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from behave import given, then, when
-from common import held_port
+from common import reserve_port
 
 from quillstall.testbed.deploy import DEPLOYS
 from quillstall.testbed.fleet import play as play_fleet
@@ -38,7 +38,7 @@
 @when('its callers send requests for {seconds:d} seconds')
 def send_requests(context, seconds):
     if context.seed is None:
-        context.result = asyncio.run(play_fleet(DEPLOYS[context.deploy]('127.0', held_port()), seconds))
+        context.result = asyncio.run(play_fleet(DEPLOYS[context.deploy]('127.0', reserve_port()), seconds))
     else:
         context.result = play_town(context.seed, context.deploy, lambda town: run_traffic(town, seconds))
 
--- a/features/steps/scale.py
+++ b/features/steps/scale.py
@@ -3,7 +3,7 @@
 import os
 
 from behave import given, then, when
-from common import held_port
+from common import reserve_port
 
 from quillstall.testbed import scale
 from quillstall.testbed.scale import Point
@@ -30,7 +30,7 @@
     )
     usual, scale.Scale = scale.Scale, Noted
     try:
-        context.results = scale.run([context.point], SECONDS, held_port(), 60, lambda text: None)
+        context.results = scale.run([context.point], SECONDS, reserve_port(), 60, lambda text: None)
     finally:
         scale.Scale = usual
     context.result = context.results[0]
@@ -98,8 +98,8 @@
 def bounds(context):
     before = set(os.listdir('/proc'))
     wanted = [Point(nodes=scale.NODES_MOST + 1), Point(replicas=scale.REPLICAS_MOST + 1)]
-    context.results = scale.run(wanted, 1, held_port(), 60, lambda text: None) + scale.run(
-        [Point()], 1, held_port(), -1, lambda text: None
+    context.results = scale.run(wanted, 1, reserve_port(), 60, lambda text: None) + scale.run(
+        [Point()], 1, reserve_port(), -1, lambda text: None
     )
     context.children = [
         p for p in set(os.listdir('/proc')) - before if p.isdigit() and parent(p) == os.getpid()
--- a/features/steps/signals.py
+++ b/features/steps/signals.py
@@ -16,7 +16,7 @@
 
 from quillstall.controlplane.desk import Desk
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx
+from quillstall.runtime.process import Context
 
 START_LIMIT_S = 30.0
 PAUSE_S = 0.01
@@ -113,8 +113,8 @@
 
     journal = SimpleNamespace(count=lambda *what: None)
     context.net = SilentNet()
-    ctx = Ctx({'address': '127.0.0.1:1', 'role': 'core'}, None, context.net, None, None, journal, None)
-    context.host = SimpleNamespace(told=elsewhere, tasks=set())
+    ctx = Context({'address': '127.0.0.1:1', 'role': 'core'}, None, context.net, None, None, journal, None)
+    context.host = SimpleNamespace(handle=elsewhere, tasks=set())
     context.desk = Desk(ctx, context.host)
 
 
--- a/features/steps/soak.py
+++ b/features/steps/soak.py
@@ -1,7 +1,7 @@
 """Steps that play the short form of the soak."""
 
 from behave import then, when
-from common import held_port
+from common import reserve_port
 
 from quillstall.testbed.soak.records import RouteKind
 from quillstall.testbed.soak.run import soak
@@ -22,12 +22,12 @@
 
 @when('the soak plays seed {seed:d} with {acts:d} act')
 def play_soak(context, seed, acts):
-    context.report = soak(seed, acts, held_port())
+    context.report = soak(seed, acts, reserve_port())
     for _ in range(PLAYS_MOST - 1):
         if not (context.report.wrong and stalled(context.report)):
             break
         print(f'host sync {context.report.host_sync_ms} ms, played again after {context.report.wrong}')
-        context.report = soak(seed, acts, held_port())
+        context.report = soak(seed, acts, reserve_port())
 
 
 @then('the soak found nothing, and every kind of request was served')
--- a/features/steps/stalls.py
+++ b/features/steps/stalls.py
@@ -15,7 +15,7 @@
 from quillstall.dataplane.admission.admission_state import Ejection, State, Task
 from quillstall.dataplane.admission.messages import Health
 from quillstall.dataplane.stalls import StallWatch
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.errors import Fault
 from quillstall.testbed.deploy import cartalume
 from quillstall.testbed.sim import World
@@ -85,7 +85,7 @@
 @then('the answer is complete within {limit_ms:d} ms')
 def complete_within(context, limit_ms):
     assert context.response.status == 200 and context.response.complete, context.response.status
-    assert context.took <= of_ms(limit_ms), context.took
+    assert context.took <= from_ms(limit_ms), context.took
 
 
 @then('one replica is ejected')
@@ -131,7 +131,7 @@
     context.reports, context.clock = [], LateClock()
     context.watch = StallWatch(
         context.clock,
-        of_ms(limit_ms),
+        from_ms(limit_ms),
         T0 + timedelta(seconds=9),
         False,
         lambda: context.reports.append(context.clock.now()),
@@ -146,7 +146,7 @@
         limits.append(limit)
         if len(limits) > 1:
             return b'data'
-        context.clock.at += limit + of_ms(late_ms)
+        context.clock.at += limit + from_ms(late_ms)
         raise Fault('slow', 'silent')
 
     assert asyncio.run(context.watch.wait(receive)) == b'data'
@@ -270,7 +270,7 @@
 @when('"{replica}" has failed on the node itself, and that ejection is over')
 def failed_on_node(context, replica):
     context.state = context.state._replace(
-        ejections=Map({replica: Ejection(T0 - of_ms(1), 1, T0 - of_ms(1001))})
+        ejections=Map({replica: Ejection(T0 - from_ms(1), 1, T0 - from_ms(1001))})
     )
 
 
--- a/features/steps/standin.py
+++ b/features/steps/standin.py
@@ -9,7 +9,7 @@
 from types import SimpleNamespace
 
 import cbor2
-from common import held_port
+from common import reserve_port
 from immutables import Map
 from tornado.httputil import HTTPHeaders, parse_request_start_line
 from tornado.iostream import StreamClosedError
@@ -21,10 +21,10 @@
 from quillstall.dataplane.admission.messages import News
 from quillstall.dataplane.node import Node
 from quillstall.network.listing import Listing, digest
-from quillstall.runtime.clock import SystemClock, of_ms
+from quillstall.runtime.clock import SystemClock, from_ms
 from quillstall.runtime.errors import Fault
 from quillstall.runtime.journal import Journal
-from quillstall.runtime.process import Ctx
+from quillstall.runtime.process import Context
 
 TIMEOUT_S = 8
 PARTITIONS = ('p00', 'p01', 'p02', 'p03')
@@ -413,14 +413,14 @@
             'name': f'n{index}',
             'role': 'route',
             'zone': 'z',
-            'address': f'127.0.0.1:{held_port()}',
+            'address': f'127.0.0.1:{reserve_port()}',
             'seeds': ['127.0.0.1:4', '127.0.0.1:5', '127.0.0.1:6'],
-            'gateway': f'127.0.0.1:{held_port()}',
-            'ready': f'127.0.0.1:{held_port()}',
+            'gateway': f'127.0.0.1:{reserve_port()}',
+            'ready': f'127.0.0.1:{reserve_port()}',
         }
         journal = Journal(startup['name'], self.clock)
         journal.log.disabled = True
-        node = Node(Ctx(startup, self.clock, self.stores, None, None, journal, random.Random(index)))
+        node = Node(Context(startup, self.clock, self.stores, None, None, journal, random.Random(index)))
         self.nodes.append(node)
         self.tasks.append(asyncio.ensure_future(node.run()))
         node.apply_placement(
@@ -542,7 +542,7 @@
     'sse_event',
     'turn_output',
     'send_request',
-    'of_ms',
+    'from_ms',
     'EVENT_TOKENS',
     'PARTITIONS',
 ]
--- a/features/steps/wire.py
+++ b/features/steps/wire.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from behave import given, then, when
-from standin import of_ms, wait_until
+from standin import from_ms, wait_until
 from tornado.httputil import HTTPHeaders
 
 from quillstall.network.httpclient import HttpClient
@@ -135,8 +135,8 @@
             context.bodies[request_id],
             matches,
         )
-        status, _ = await exchange.head(of_ms(4000))
-        while await exchange.data(of_ms(4000)) is not None:
+        status, _ = await exchange.head(from_ms(4000))
+        while await exchange.data(from_ms(4000)) is not None:
             pass
         await exchange.task  # now the connection is pooled or closed
         return status
--- a/src/quillstall/controlplane/core.py
+++ b/src/quillstall/controlplane/core.py
@@ -64,7 +64,7 @@
     >>> from datetime import UTC
     >>> t = datetime(2026, 1, 1, tzinfo=UTC)
     >>> s = Core('c1', '127.0.0.1:1', 'z1', ('127.0.0.1:1',))
-    >>> s, e = step(s, Told(1, {'k': 'poll', 'node': 'n1'}), t); e[0].ret['fault']
+    >>> s, e = step(s, Told(1, {'k': 'poll', 'node': 'n1'}), t); e[0].reply['fault']
     'core_away'
     """
     effects: list = []
@@ -134,7 +134,7 @@
     """Handle an acceptor's reply in this process's campaign, and remember newer voters that it reports."""
     copy = core_copy(state)
     own_replica_set = copy.replica_set if copy and copy.has_all_rows else None
-    reply = event.ret or {}
+    reply = event.reply or {}
     if (
         reply.get('seat')
         and reply.get('crew')
@@ -438,7 +438,7 @@
 
 def finish_command(state: Core, effect: Done, now: datetime, effects: list) -> Core:
     """Handle the result of a command: it is on the disks of the replica set, or has failed."""
-    tag, reply = effect.tag, effect.ret
+    tag, reply = effect.tag, effect.reply
     if tag[0] == 'beat':
         return state
     if tag[1] == 'none':  # it may have changed members, replica sets or the register
@@ -601,7 +601,7 @@
 
 def handle_core_reply(state: Core, event: Heard, now: datetime, effects: list) -> Core:
     """Handle another core's reply to a join request, an admission request, an invitation or a status poll."""
-    reply = event.ret
+    reply = event.reply
     if reply is None or 'fault' in reply:
         if event.tag[1] == 'admit' and reply and reply['more'].get('at'):
             membership.request_admission(state, reply['more']['at'], effects)
--- a/src/quillstall/controlplane/core_state.py
+++ b/src/quillstall/controlplane/core_state.py
@@ -10,7 +10,7 @@
 from quillstall.replication import ballot, group, register
 from quillstall.replication.group import ReplicaSet
 from quillstall.replication.register import DEFAULT_LEASE
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 
 STORE_TIMEOUT = timedelta(milliseconds=2000)
 PARTITIONS = 24
@@ -202,8 +202,8 @@
         may_found=startup.get('founding', True),
         tolerated_losses=startup.get('losses', 1),
         degraded_mode=startup.get('lone', False),
-        store_timeout=of_ms(startup['silent_ms']) if 'silent_ms' in startup else STORE_TIMEOUT,
-        lease_duration=of_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
+        store_timeout=from_ms(startup['silent_ms']) if 'silent_ms' in startup else STORE_TIMEOUT,
+        lease_duration=from_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
     )
 
 
--- a/src/quillstall/controlplane/desk.py
+++ b/src/quillstall/controlplane/desk.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 from quillstall.runtime import metrics
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx, Host
+from quillstall.runtime.process import Context, ReducerRunner
 
-LIMIT = of_ms(8000)  # a change may have to wait until old leases have run out
-READ_LIMIT = of_ms(700)  # a question waits for confirmations only
+LIMIT = from_ms(8000)  # a change may have to wait until old leases have run out
+READ_LIMIT = from_ms(700)  # a question waits for confirmations only
 READS = ('show',)
 PLACES = {
     ('GET', '/v1/policy'): 'show',
@@ -43,7 +43,7 @@
 class Desk:
     """Answers operators; what only the primary can do is handed over to it."""
 
-    def __init__(self, ctx: Ctx, host: Host):
+    def __init__(self, ctx: Context, host: ReducerRunner):
         self.ctx = ctx
         self.host = host
 
@@ -79,7 +79,7 @@
             return {'ok': True, 'lines': list(self.ctx.journal.lines)}
         if kind == 'status':
             return {
-                **await self.host.told({'k': 'status'}),
+                **await self.host.handle({'k': 'status'}),
                 'now': self.ctx.clock.wall().isoformat(),
                 'disk': {'syncs': self.ctx.disk.syncs, 'sync_ms': self.ctx.disk.sync_ms},
             }
@@ -115,12 +115,12 @@
 
     async def ask_primary(self, message: dict) -> dict:
         """As `primary`, for as long as the caller waits."""
-        ret = await self.host.told(message)
+        ret = await self.host.handle(message)
         at = ret.get('more', {}).get('at') if ret.get('fault') == 'core_away' else None
         if at and at != self.ctx.startup['address']:
             return await self.forward(at, message)
         if 'fault' in ret:
-            raise Fault.of(ret)
+            raise Fault.unpack(ret)
         return ret
 
     async def forward(self, address: str, message: dict) -> dict:
--- a/src/quillstall/controlplane/main.py
+++ b/src/quillstall/controlplane/main.py
@@ -12,7 +12,7 @@
 from quillstall.configuration.startup import read
 from quillstall.controlplane import doctor
 from quillstall.network.web import CurlWeb, fetch
-from quillstall.runtime.daemon import tell
+from quillstall.runtime.daemon import print_fault
 from quillstall.runtime.errors import Fault
 
 AT = option('at', None, "ip:port of any core's HTTP; more with commas", flag=False, default='127.0.0.1:7001')
@@ -53,7 +53,7 @@
         try:
             status, data, _ = asyncio.run(ask(self.option('at'), method, path, body, headers))
         except Fault as e:
-            tell(e, self.line_error)
+            print_fault(e, self.line_error)
             return 3, None
         if status >= 400:
             self.line_error(f'{data.get("code")}: {data.get("detail") or data.get("title")}')
--- a/src/quillstall/controlplane/membership.py
+++ b/src/quillstall/controlplane/membership.py
@@ -55,7 +55,11 @@
 def propose_replica_set(state: Core, effect: Propose, now: datetime, effects: list) -> Core:
     """Ask the acceptors to accept the replica set that the replica group proposes."""
     campaign, ballot_effects = ballot.propose(
-        state.campaign, effect.seat, voter_sets(state), state.campaign.voters or next_voters(state), now
+        state.campaign,
+        effect.replica_set,
+        voter_sets(state),
+        state.campaign.voters or next_voters(state),
+        now,
     )
     effects.extend(ballot_effects)
     return state._replace(campaign=campaign)
--- a/src/quillstall/controlplane/store.py
+++ b/src/quillstall/controlplane/store.py
@@ -12,7 +12,7 @@
 from quillstall.replication.group import Grant, Op, ReplicaSet, StartReconfiguration
 from quillstall.replication.register import DEFAULT_LEASE, QuorumRecord
 from quillstall.replication.watch import DEFAULT_SILENCE_LIMIT, Watch
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.disk import Put
 from quillstall.runtime.effect import Ask, Count, Done, Heard, Propose, Return, Tick, Told, Write, Wrote
 from quillstall.runtime.errors import Fault
@@ -94,7 +94,7 @@
     record = register.decode_record(process_rows.get('word'))
     # Which leases were renewed before this start is not known, so any node's lease counts as renewed now.
     renewed_leases = Map({(register.ANY_NODE, 0): now}) if record.number else Map()
-    store_timeout = of_ms(startup['silent_ms']) if 'silent_ms' in startup else DEFAULT_SILENCE_LIMIT
+    store_timeout = from_ms(startup['silent_ms']) if 'silent_ms' in startup else DEFAULT_SILENCE_LIMIT
     return Store(
         me,
         startup['address'],
@@ -113,7 +113,7 @@
         renewed_leases=renewed_leases,
         store_timeout=store_timeout,
         watch=Watch(silence_limit=store_timeout, suspect_after=store_timeout * SUSPECT_FRACTION),
-        lease_duration=of_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
+        lease_duration=from_ms(startup['lease_ms']) if 'lease_ms' in startup else DEFAULT_LEASE,
     )
 
 
@@ -155,17 +155,21 @@
     elif kind is Heard and event.tag[0] == 'poll':
         state = handle_poll_reply(state, event, now, effects)
     elif kind is Heard and event.tag[0] == 'seat':
-        if event.ret and 'fault' not in event.ret:
-            state = step_replication(state, Grant(event.tag[1], ReplicaSet(*event.ret['seat'])), now, effects)
-        elif event.ret and event.ret['fault'] == 'core_away' and event.ret['more'].get('at'):
-            state = state._replace(core_primary=event.ret['more']['at'])
+        if event.reply and 'fault' not in event.reply:
+            state = step_replication(
+                state, Grant(event.tag[1], ReplicaSet(*event.reply['seat'])), now, effects
+            )
+        elif event.reply and event.reply['fault'] == 'core_away' and event.reply['more'].get('at'):
+            state = state._replace(core_primary=event.reply['more']['at'])
     elif kind is Heard and event.tag[0] == 'ping':
-        state = state._replace(watch=watch.record_ping(state.watch, event.tag[1], event.ret, now))
+        state = state._replace(watch=watch.record_ping(state.watch, event.tag[1], event.reply, now))
     elif kind is Heard and event.tag[0] == 'relay':
-        effects.append(Return(event.tag[1], event.ret or Fault('slow', 'no core answered').pack()))
+        effects.append(Return(event.tag[1], event.reply or Fault('slow', 'no core answered').pack()))
     elif kind is Heard and event.tag[0] == 'who':
-        if event.ret and event.ret.get('core'):
-            state = state._replace(core_addresses=tuple(event.ret['core']), core_primary=event.ret.get('at'))
+        if event.reply and event.reply.get('core'):
+            state = state._replace(
+                core_addresses=tuple(event.reply['core']), core_primary=event.reply.get('at')
+            )
     elif kind is Wrote and event.tag[0] == 'word':
         state = finish_record_write(state, event.tag[1], now, effects)
     elif event.tag[0] == 'g':
@@ -180,16 +184,16 @@
     for effect in group_effects:
         if type(effect) is Done:
             if effect.tag[0] == 'call':
-                effects.append(Return(effect.tag[1], effect.ret))
-            elif effect.tag[0] == 'sweep' and 'fault' not in effect.ret:
+                effects.append(Return(effect.tag[1], effect.reply))
+            elif effect.tag[0] == 'sweep' and 'fault' not in effect.reply:
                 state = state._replace(
-                    sweep_positions=state.sweep_positions.set(effect.tag[1], effect.ret['at'])
+                    sweep_positions=state.sweep_positions.set(effect.tag[1], effect.reply['at'])
                 )
         elif type(effect) is Propose:
             effects.append(
                 Ask(
                     state.core_primary or state.core_addresses[0],
-                    {'k': 'seat', 'part': effect.part, 'seat': list(effect.seat)},
+                    {'k': 'seat', 'part': effect.part, 'seat': list(effect.replica_set)},
                     ('seat', effect.part),
                 )
             )
@@ -284,7 +288,7 @@
     >>> t, effects = datetime(2026, 1, 1, tzinfo=UTC), []
     >>> s = Store('s1', 'a:1', 'z', 1, (), record=QuorumRecord(4, 1))
     >>> s = renew_lease(s, Told(1, {'node': 'n1', 'generation': 3, 'number': 1, 'place': 0}), t, effects)
-    >>> effects[0].ret['word'][:2], list(s.renewed_leases)
+    >>> effects[0].reply['word'][:2], list(s.renewed_leases)
     ([4, 1], [('n1', 4)])
     """
     message, record = event.message, state.record
@@ -486,7 +490,7 @@
     if event.tag[1] != state.poll_number:
         return state
     state = state._replace(poll_pending=False)
-    reply = event.ret
+    reply = event.reply
     if reply is None or 'fault' in reply:
         if state.polled_core is None:  # not reachable through a peer either: try the cores again
             return state._replace(failed_polls=0, core_index=state.core_index + 1)
--- a/src/quillstall/dataplane/admission/refusal.py
+++ b/src/quillstall/dataplane/admission/refusal.py
@@ -7,7 +7,7 @@
 from quillstall.dataplane.admission import admission_state, service_time, throughput
 from quillstall.dataplane.admission.admission_state import Pool, State, Task
 from quillstall.dataplane.admission.messages import Decision
-from quillstall.runtime.clock import ms, of_ms
+from quillstall.runtime.clock import from_ms, ms
 from quillstall.runtime.effect import Count
 from quillstall.runtime.errors import Fault
 
@@ -20,7 +20,7 @@
     """Return the state after a refusal, which goes into the effects. Its retry time is when the pool should have
     room for the task; the times of several callers are spread so that they do not return at once."""
     settings = admission_state.settings(state)
-    floor, ceiling = of_ms(settings['retry_floor_ms']), of_ms(settings['retry_ceiling_ms'])
+    floor, ceiling = from_ms(settings['retry_floor_ms']), from_ms(settings['retry_ceiling_ms'])
     refusal_count = state.refusal_count + 1
     state = state._replace(refusal_count=refusal_count)
     spread = refusal_count * 0.618033988749895 % 1.0  # the golden ratio's fraction spaces them evenly
--- a/src/quillstall/dataplane/failures.py
+++ b/src/quillstall/dataplane/failures.py
@@ -4,11 +4,13 @@
 from datetime import datetime
 from typing import Any, NamedTuple
 
-from quillstall.runtime.clock import ms, of_ms
+from quillstall.runtime.clock import from_ms, ms
 from quillstall.runtime.errors import Fault
 
 MAX_FAILURES = 256
-LOG_INTERVAL = of_ms(1000)  # at most one log line per interval; the next line counts the failures in between
+LOG_INTERVAL = from_ms(
+    1000
+)  # at most one log line per interval; the next line counts the failures in between
 
 
 class Attempt(NamedTuple):
--- a/src/quillstall/dataplane/gateway.py
+++ b/src/quillstall/dataplane/gateway.py
@@ -29,21 +29,21 @@
 from quillstall.network.httpclient import AnswerTest, Exchange, HttpClient
 from quillstall.network.httpserver import Call, Inbound, JsonOut, Listener
 from quillstall.network.net import connect, split
-from quillstall.runtime.clock import ms, of_ms
+from quillstall.runtime.clock import from_ms, ms
 from quillstall.runtime.errors import Fault
 
 PRIOR_FRACTION = 0.25  # of the time left: the service time that is assumed before one is known
-MIN_PATIENCE = of_ms(60)  # the shortest wait for a response before another replica is tried
+MIN_PATIENCE = from_ms(60)  # the shortest wait for a response before another replica is tried
 PATIENCE_FACTOR = 4  # times the expected service time: the wait before another replica is tried
 IDLE_FRACTION_REPEATABLE = 0.8  # of the idle timeout: a connection that was idle for longer is not reused
 IDLE_FRACTION_STREAM = 0.5
 IDLE_FRACTION_ONCE = 0.4
 STORE_WAIT_FRACTION = 0.45  # of the request's time: the longest wait for the store before a turn is sent
-STORE_WRITE_GRACE = of_ms(400)  # past the deadline: the longest wait for the store to retain a turn
-MIN_DRAIN_TIME = of_ms(3200)  # new requests still arrive for a while after a stop signal
-FINAL_RESPONSE_MARGIN = of_ms(300)  # before the end of a stop: open requests are answered then
-DRAIN_POLL_INTERVAL = of_ms(20)
-CONNECT_CHECK_TIMEOUT = of_ms(150)  # for the check whether a replica still accepts connections
+STORE_WRITE_GRACE = from_ms(400)  # past the deadline: the longest wait for the store to retain a turn
+MIN_DRAIN_TIME = from_ms(3200)  # new requests still arrive for a while after a stop signal
+FINAL_RESPONSE_MARGIN = from_ms(300)  # before the end of a stop: open requests are answered then
+DRAIN_POLL_INTERVAL = from_ms(20)
+CONNECT_CHECK_TIMEOUT = from_ms(150)  # for the check whether a replica still accepts connections
 GOLDEN_RATIO_FRACTION = 0.618033988749895
 NOT_RUN_STATUSES = (402, 408, 421, 429, 503)  # these promise that the request has not run and will not run
 MAX_SENDS = 4  # replicas that a request is sent to, including those that rejected it
@@ -109,7 +109,7 @@
     async def close_idle_connections(self) -> None:
         """Close idle connections to replicas once a second, until cancelled."""
         while True:
-            await self.ctx.clock.sleep(of_ms(1000))
+            await self.ctx.clock.sleep(from_ms(1000))
             self.client.tidy()
 
     async def drain(self, end: datetime) -> None:
@@ -157,7 +157,7 @@
         self.listener.limit(
             limits.get('head_bytes', 65536) + 1024,
             limits.get('body_bytes', 8 * 2**20) + 1024,
-            of_ms(limits.get('idle_ms', 60_000) + 2000),
+            from_ms(limits.get('idle_ms', 60_000) + 2000),
         )
 
     def choose_pool(self, route_name: str, request: Request, route: dict) -> str:
@@ -203,9 +203,9 @@
                 raise Fault('no_lease', 'this node has no policy or no lease', wait_ms=500)
             request = dialect.parse_request(self.dialect, call)
             route_name, route = self.match_route(request)
-            timeout = of_ms(route['timeout_ms'])
+            timeout = from_ms(route['timeout_ms'])
             if request.deadline_ms is not None:
-                timeout = min(timeout, of_ms(request.deadline_ms))
+                timeout = min(timeout, from_ms(request.deadline_ms))
             deadline = start + timeout
             if self.final_response_at is not None:
                 deadline = min(deadline, self.final_response_at)
@@ -278,7 +278,7 @@
             start,
             state.policy['classes'][class_name].get('urgent', False),
             prior_service_time=min(
-                (deadline - start) * PRIOR_FRACTION, of_ms(int(route.get('target_ms') or 600_000))
+                (deadline - start) * PRIOR_FRACTION, from_ms(int(route.get('target_ms') or 600_000))
             ),
             uncached_tokens=unread,
             zone=self.ctx.startup['zone'],
--- a/src/quillstall/dataplane/keyed.py
+++ b/src/quillstall/dataplane/keyed.py
@@ -11,12 +11,12 @@
 from tornado.httputil import HTTPHeaders
 
 from quillstall.dataplane.dialect import Dialect, Request
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.errors import Fault
 
 DEFAULT_RETENTION_S = 120
 STORE_WAIT_FRACTION = 0.45  # of the request's time: the longest wait for the store at a claim
-STORE_WRITE_TIMEOUT = of_ms(150)  # the longest delay of a response by the write of its record to the store
+STORE_WRITE_TIMEOUT = from_ms(150)  # the longest delay of a response by the write of its record to the store
 MAX_RUNNING_TIME = timedelta(seconds=30)  # after this a run without an end has an unknown outcome
 RETRY_AFTER_MS = 300
 
--- a/src/quillstall/dataplane/node.py
+++ b/src/quillstall/dataplane/node.py
@@ -43,40 +43,42 @@
 from quillstall.replication.rendezvous import partition_of
 from quillstall.replication.watch import Watch
 from quillstall.runtime import metrics
-from quillstall.runtime.clock import ms, of_ms
+from quillstall.runtime.clock import from_ms, ms
 from quillstall.runtime.effect import Count, Note, Tick
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx
-
-TICK_INTERVAL = of_ms(100)
-IDLE_TICK_INTERVAL = of_ms(1000)  # between clock events while no task is pending
-POLL_TIMEOUT = of_ms(650)  # the core holds a poll open for up to 250 ms
-POLL_RETRY_DELAY = of_ms(60)
-CORE_BACKOFF = of_ms(400)
-STORE_TIMEOUT = of_ms(700)
-RENEW_INTERVAL = of_ms(250)
-RENEW_INITIAL_DELAY = of_ms(40)  # until the first renewal after a start; doubles up to RENEW_INTERVAL
-RENEW_TIMEOUT = of_ms(400)
+from quillstall.runtime.process import Context
+
+TICK_INTERVAL = from_ms(100)
+IDLE_TICK_INTERVAL = from_ms(1000)  # between clock events while no task is pending
+POLL_TIMEOUT = from_ms(650)  # the core holds a poll open for up to 250 ms
+POLL_RETRY_DELAY = from_ms(60)
+CORE_BACKOFF = from_ms(400)
+STORE_TIMEOUT = from_ms(700)
+RENEW_INTERVAL = from_ms(250)
+RENEW_INITIAL_DELAY = from_ms(40)  # until the first renewal after a start; doubles up to RENEW_INTERVAL
+RENEW_TIMEOUT = from_ms(400)
 RENEW_LEASE_FRACTION = 0.6  # replies of the core renew a lease before less than this is left
-STORE_RETRY_DELAY = of_ms(60)
+STORE_RETRY_DELAY = from_ms(60)
 SERVICE_TIME_FRACTION = 0.25  # of a route's deadline: its expected service time before the first sample
 DEFAULT_MAX_TOKENS = 256
 BACKGROUND_CALL_LIMIT = timedelta(seconds=30)
 MAX_RUN_TIME = timedelta(seconds=30)
 STEP_FAULT_RETRY_MS = 500
-SLOW_STORE_CALL = of_ms(1000)  # a call that takes longer is logged
-MAX_LIST_AGE = of_ms(1600)  # since the platform was asked; a node with an older list asks the platform itself
-MIN_LIST_AGE_CHECK_INTERVAL = of_ms(300)
+SLOW_STORE_CALL = from_ms(1000)  # a call that takes longer is logged
+MAX_LIST_AGE = from_ms(
+    1600
+)  # since the platform was asked; a node with an older list asks the platform itself
+MIN_LIST_AGE_CHECK_INTERVAL = from_ms(300)
 MAX_REFRESH_JITTER = 1.2  # spreads the requests of the nodes over time
-MIN_REFRESH_INTERVAL = of_ms(1600)
+MIN_REFRESH_INTERVAL = from_ms(1600)
 
 
 class Node:
     """One routing node: its context, its admission state and the queue of events for that state."""
 
-    def __init__(self, ctx: Ctx):
+    def __init__(self, ctx: Context):
         self.ctx = ctx
-        self.name = f'{ctx.startup["name"]}-{ctx.dice.getrandbits(24):06x}'
+        self.name = f'{ctx.startup["name"]}-{ctx.rng.getrandbits(24):06x}'
         self.state = State()
         self.queue: Queue = Queue()
         self.pending_decisions: dict[str, asyncio.Future] = {}
@@ -88,9 +90,9 @@
         self.core_addresses: list[str] = list(ctx.startup['seeds'])
         self.core_primary: str | None = None
         self.register = register.EMPTY_REGISTER
-        self.lease_duration = of_ms(ctx.startup['lease_ms']) if 'lease_ms' in ctx.startup else DEFAULT_LEASE
+        self.lease_duration = from_ms(ctx.startup['lease_ms']) if 'lease_ms' in ctx.startup else DEFAULT_LEASE
         self.watch = (
-            Watch(silence_limit=of_ms(ctx.startup['silent_ms'])) if 'silent_ms' in ctx.startup else Watch()
+            Watch(silence_limit=from_ms(ctx.startup['silent_ms'])) if 'silent_ms' in ctx.startup else Watch()
         )
         self.placement_changed: asyncio.Future | None = None  # done when the placement has changed
         self.probe_leadership = probe_leadership.ProbeLeadership(ctx, self.name)
@@ -133,7 +135,7 @@
             if kind is Decision:
                 self.deliver_decision(effect)
             elif kind is Count:
-                self.ctx.journal.count(effect.what, effect.more)
+                self.ctx.journal.count(effect.name, effect.amount)
             elif kind is Note:
                 self.ctx.journal.note(effect.kind, **effect.facts)
 
@@ -179,9 +181,9 @@
             delay = (
                 TICK_INTERVAL
                 if wake_at is None
-                else min(TICK_INTERVAL, wake_at - self.ctx.clock.now() + of_ms(1))
+                else min(TICK_INTERVAL, wake_at - self.ctx.clock.now() + from_ms(1))
             )
-            await self.ctx.clock.sleep(max(of_ms(1), delay))
+            await self.ctx.clock.sleep(max(from_ms(1), delay))
 
     async def wait_until_needed(self) -> None:
         """Wait up to `IDLE_TICK_INTERVAL` until a task is pending or some state is due to expire."""
@@ -207,7 +209,7 @@
         if decision.fault and self.ctx.clock.now() > task.deadline:  # this process stalled meanwhile
             raise Fault('late', 'the node stalled until after the deadline', ran='no')
         if decision.fault:
-            raise Fault.of(decision.fault)
+            raise Fault.unpack(decision.fault)
         return decision.replica
 
     # ---- updates from the core
@@ -288,7 +290,7 @@
         }
         if newest.policy is not None:
             update.update(policy=newest.policy, leaving=newest.leaving)
-        lease = min(of_ms(reply['lease_ms']) for reply in replies.values())
+        lease = min(from_ms(reply['lease_ms']) for reply in replies.values())
         self.post_event(News(update, sent_at + lease))
 
     async def request_renewal(self, name: str, address: str) -> dict | None:
@@ -351,7 +353,7 @@
             if (not leading and self.probe_leadership.leader is None) or (
                 leading and self.probe_leadership.term_end - self.ctx.clock.now() < probe_leadership.TERM / 2
             ):
-                await self.ctx.clock.sleep(probe_leadership.CHECK_INTERVAL * self.ctx.dice.random())
+                await self.ctx.clock.sleep(probe_leadership.CHECK_INTERVAL * self.ctx.rng.random())
                 await self.probe_leadership.campaign(self.core_addresses)
             if self.probe_leadership.is_leader():
                 addresses = {
@@ -366,7 +368,7 @@
     async def ping_peer(self, name: str, address: str) -> None:
         """Ping one peer and record its reply."""
         try:
-            reply = await self.ctx.net.ask(address, {'k': 'who'}, of_ms(watch.PING_TIMEOUT_MS))
+            reply = await self.ctx.net.ask(address, {'k': 'who'}, from_ms(watch.PING_TIMEOUT_MS))
         except Fault:
             return
         self.watch = watch.record_ping(self.watch, name, reply, self.ctx.clock.now())
@@ -377,12 +379,12 @@
         The core may be down, or partitioned from the platform.
         """
         clock, refreshed_at = self.ctx.clock, None
-        interval = of_ms(150)  # after a start nothing can be served until there is a list
+        interval = from_ms(150)  # after a start nothing can be served until there is a list
         while self.ctx.lister:
             await clock.sleep(
-                interval * self.ctx.dice.random()
+                interval * self.ctx.rng.random()
                 if refreshed_at is None
-                else interval * (MAX_REFRESH_JITTER - 0.4 * self.ctx.dice.random())
+                else interval * (MAX_REFRESH_JITTER - 0.4 * self.ctx.rng.random())
             )
             now = clock.now()
             interval = max(MIN_LIST_AGE_CHECK_INTERVAL, self.listing_time_left(now) / MAX_REFRESH_JITTER)
@@ -453,7 +455,7 @@
         for replica, succeeded in reply.get('reports', {}).items():
             self.post_event(Report(replica, succeeded))
         self.apply_listing(reply, sent_at)
-        self.post_event(News(reply, sent_at + of_ms(reply['lease_ms'])))
+        self.post_event(News(reply, sent_at + from_ms(reply['lease_ms'])))
 
     def apply_listing(self, reply: dict, sent_at: datetime) -> None:
         """Apply the core's list of replicas, or its confirmation that this node's list is still current.
@@ -600,7 +602,7 @@
                 '1 finding',
                 (('class', f'route {request.route!r} is of class {route["class"]!r}'),),
             )
-        time_limit = of_ms(
+        time_limit = from_ms(
             request.deadline_ms or route.get('deadline_ms') or policy['classes'][class_name]['deadline_ms']
         )
         deadline = received_at + time_limit
@@ -623,7 +625,7 @@
             policy['classes'][class_name].get('urgent', False),
             request.shared_prefix or request.route,
             previous.replica if previous else '',
-            prior_service_time=of_ms(route['service_ms'])
+            prior_service_time=from_ms(route['service_ms'])
             if 'service_ms' in route
             else time_limit * SERVICE_TIME_FRACTION,
         )
@@ -958,7 +960,7 @@
                 f'{service}{path} is not in the policy',
                 ran='unknown' if idempotency_key else '',
             )
-        time_limit = of_ms(
+        time_limit = from_ms(
             read_deadline_ms(request.headers.get('x-deadline-ms'))
             or path_policy.get('deadline_ms')
             or policy['classes'][service_policy['class']]['deadline_ms']
@@ -989,7 +991,7 @@
             received_at,
             policy['classes'][class_name].get('urgent', False),
             service,
-            prior_service_time=of_ms(path_policy['service_ms'])
+            prior_service_time=from_ms(path_policy['service_ms'])
             if 'service_ms' in path_policy
             else time_limit * SERVICE_TIME_FRACTION,
         )
@@ -1328,13 +1330,13 @@
 
     async def drain(self, timeout: timedelta) -> None:
         """Refuse new and pending tasks, and wait until running ones have ended or the timeout is over:
-        `await node.drain(of_ms(5000))`."""
+        `await node.drain(from_ms(5000))`."""
         deadline = self.ctx.clock.now() + timeout
         if self.gateway:  # callers still send requests for a while: serve them
             await self.gateway.drain(deadline)
         self.post_event(Drain())
         while (self.active_requests or self.background_calls) and self.ctx.clock.now() < deadline:
-            await self.ctx.clock.sleep(of_ms(20))
+            await self.ctx.clock.sleep(from_ms(20))
 
 
 async def write_reply(response: Any, reply: dict, headers: dict | None = None) -> None:
@@ -1350,6 +1352,6 @@
     await asyncio.wait((first, second), return_when=asyncio.FIRST_COMPLETED)
 
 
-async def run(ctx: Ctx, ready: Any = None) -> None:
+async def run(ctx: Context, ready: Any = None) -> None:
     """Run a routing node until cancelled: `await run(ctx)`."""
     await Node(ctx).run(ready)
--- a/src/quillstall/dataplane/probe_leadership.py
+++ b/src/quillstall/dataplane/probe_leadership.py
@@ -9,13 +9,13 @@
 from datetime import datetime, timedelta
 from typing import Any
 
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.errors import Fault
 
 TERM = timedelta(seconds=3)
-CHECK_INTERVAL = of_ms(200)
-RETRY_INTERVAL = of_ms(800)
-REQUEST_TIMEOUT = of_ms(400)
+CHECK_INTERVAL = from_ms(200)
+RETRY_INTERVAL = from_ms(800)
+REQUEST_TIMEOUT = from_ms(400)
 
 
 class ProbeLeadership:
--- a/src/quillstall/dataplane/stalls.py
+++ b/src/quillstall/dataplane/stalls.py
@@ -10,12 +10,12 @@
 
 from quillstall.dataplane.admission.admission_state import ServiceTime
 from quillstall.dataplane.admission.service_time import smoothed
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.errors import Fault
 
-MIN_STALL_SILENCE = of_ms(250)  # a shorter silence is no stall
+MIN_STALL_SILENCE = from_ms(250)  # a shorter silence is no stall
 STALL_FACTOR = 4  # nor is one below this multiple of the usual longest silence
-MAX_TIMER_DELAY = of_ms(
+MAX_TIMER_DELAY = from_ms(
     100
 )  # if a timer fires later than this, the delay is in this process, not in the replica
 
@@ -34,7 +34,7 @@
 def usual_silence(known: ServiceTime | None, longest: timedelta) -> ServiceTime:
     """Return a route's estimate of the longest silence after one more turn that succeeded.
 
-    >>> usual_silence(None, of_ms(200))
+    >>> usual_silence(None, from_ms(200))
     ServiceTime(mean=0.2, deviation=0.1)
     """
     seconds = longest.total_seconds()
--- a/src/quillstall/main.py
+++ b/src/quillstall/main.py
@@ -8,8 +8,8 @@
 
 from quillstall.configuration.startup import read
 from quillstall.controlplane.main import OPERATOR_COMMANDS
-from quillstall.runtime.clock import of_ms
-from quillstall.runtime.daemon import serve, tell
+from quillstall.runtime.clock import from_ms
+from quillstall.runtime.daemon import print_fault, serve
 from quillstall.runtime.errors import Fault
 
 DEFAULT_DRAIN = timedelta(seconds=8)
@@ -39,7 +39,7 @@
         try:
             settings = read(self.argument('file'), flags)
         except Fault as fault:
-            tell(fault, self.line_error)
+            print_fault(fault, self.line_error)
             return 2
         if settings['role'] == 'route':
             return serve_route(settings)
@@ -53,7 +53,7 @@
     from quillstall.dataplane.node import Node, run
 
     async def drain(node: Node) -> None:
-        await node.drain(of_ms(settings['drain_ms']) if 'drain_ms' in settings else DEFAULT_DRAIN)
+        await node.drain(from_ms(settings['drain_ms']) if 'drain_ms' in settings else DEFAULT_DRAIN)
 
     return serve(settings, run, drain)
 
--- a/src/quillstall/network/httpclient.py
+++ b/src/quillstall/network/httpclient.py
@@ -190,7 +190,7 @@
             self.fresh = None
 
     async def head(self, limit: timedelta) -> tuple[int, Any]:
-        """Status and head of the answer: `status, headers = await exchange.head(of_ms(500))`."""
+        """Status and head of the answer: `status, headers = await exchange.head(from_ms(500))`."""
         if not self.headed and self.fault is None:
             await self.more(limit)
         if self.headed:
@@ -198,7 +198,7 @@
         raise self.fault or Fault('lost', self.place[0])
 
     async def data(self, limit: timedelta) -> bytes | None:
-        """What has come of the body since, or None at its end: `await exchange.data(of_ms(500))`."""
+        """What has come of the body since, or None at its end: `await exchange.data(from_ms(500))`."""
         while True:
             if self.chunks:
                 out = b''.join(self.chunks)
--- a/src/quillstall/network/net.py
+++ b/src/quillstall/network/net.py
@@ -56,7 +56,7 @@
 async def connect(address: str, limit: timedelta, source: str | None = None) -> IOStream:
     """A new connection, without a look-up of names; Fault 'unreachable' if none comes in time.
 
-    `stream = await connect('127.0.0.1:9000', of_ms(400))`
+    `stream = await connect('127.0.0.1:9000', from_ms(400))`
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     quick(sock)
@@ -351,7 +351,7 @@
             return link
 
     async def ask(self, address: str, message: dict, limit: timedelta) -> dict:
-        """Ask one process: `await net.ask('127.0.0.1:7000', {'k': 'hi'}, of_ms(500))`."""
+        """Ask one process: `await net.ask('127.0.0.1:7000', {'k': 'hi'}, from_ms(500))`."""
         sent = None
         try:
             async with asyncio.timeout(max(0.0, limit.total_seconds())):
@@ -373,7 +373,7 @@
                 'slow' if sent is not None else 'unreachable', f'{address}: no return in {limit}'
             ) from e
         if 'fault' in ret:
-            raise Fault.of(ret)
+            raise Fault.unpack(ret)
         return ret
 
     async def close(self) -> None:
--- a/src/quillstall/replication/ballot.py
+++ b/src/quillstall/replication/ballot.py
@@ -111,9 +111,9 @@
     >>> acceptor, effects = vote(Acceptor(), Told(1, {'k': 'ballot', 'epoch': 2}))
     >>> acceptor.promised, type(effects[0]).__name__
     (2, 'Write')
-    >>> acceptor, effects = vote(acceptor, Told(2, {'k': 'ballot', 'epoch': 2})); effects[0].ret['ok']
+    >>> acceptor, effects = vote(acceptor, Told(2, {'k': 'ballot', 'epoch': 2})); effects[0].reply['ok']
     False
-    >>> acceptor, effects = vote(acceptor, Told(3, {'k': 'accept', 'epoch': 1, 'seat': [1, 0, 'a', 'b'], 'crew': None})); effects[0].ret['ok']
+    >>> acceptor, effects = vote(acceptor, Told(3, {'k': 'accept', 'epoch': 1, 'seat': [1, 0, 'a', 'b'], 'crew': None})); effects[0].reply['ok']
     False
     >>> acceptor, effects = vote(acceptor, Told(3, {'k': 'accept', 'epoch': 2, 'seat': [2, 0, 'a', 'b'], 'crew': None})); acceptor.replica_set
     (2, 0, 'a', 'b')
@@ -208,7 +208,7 @@
     ('move', 'c', (2, 1, 'a', 'c'))
     """
     _, epoch, stage, voter = event.tag
-    reply = event.ret
+    reply = event.reply
     if reply is None or 'fault' in reply or epoch != campaign.epoch or campaign.stage != stage:
         return campaign, (), ()
     campaign = campaign._replace(highest_epoch=max(campaign.highest_epoch, reply['promised']))
--- a/src/quillstall/replication/group.py
+++ b/src/quillstall/replication/group.py
@@ -855,7 +855,7 @@
     """Handle the reply to a message that this member sent, or the lack of one."""
     _, partition, session, kind, number = event.tag
     copy = context.copy(partition)
-    reply = event.ret
+    reply = event.reply
     if copy is None:
         return
     if kind in ('fill', 'follow'):
--- a/src/quillstall/runtime/clock.py
+++ b/src/quillstall/runtime/clock.py
@@ -36,10 +36,10 @@
     return round(span / timedelta(milliseconds=1))
 
 
-def of_ms(count: float) -> timedelta:
+def from_ms(count: float) -> timedelta:
     """A span of that many milliseconds.
 
-    >>> of_ms(250)
+    >>> from_ms(250)
     datetime.timedelta(microseconds=250000)
     """
     return timedelta(milliseconds=count)
@@ -82,5 +82,5 @@
         return datetime.fromtimestamp(self.read_wall(), UTC)
 
     async def sleep(self, span: timedelta) -> None:
-        """Wait for `span`: `await clock.sleep(of_ms(20))`."""
+        """Wait for `span`: `await clock.sleep(from_ms(20))`."""
         await asyncio.sleep(max(0.0, span.total_seconds()))
--- a/src/quillstall/runtime/daemon.py
+++ b/src/quillstall/runtime/daemon.py
@@ -15,31 +15,33 @@
 from quillstall.runtime.clock import SystemClock
 from quillstall.runtime.errors import Fault
 from quillstall.runtime.journal import Journal
-from quillstall.runtime.process import Ctx
+from quillstall.runtime.process import Context
 
-COLLECT_AFTER = (20_000, 20, 50)  # new objects, then collections of each younger generation
+COLLECTION_THRESHOLDS = (20_000, 20, 50)  # new objects, then collections of each younger generation
 
 
-def context(startup: dict) -> Ctx:
+def context(startup: dict) -> Context:
     """The context of a real process: `context(startup)`."""
     clock = SystemClock()
     journal = Journal(startup['name'], clock)
     source = split(startup['address'])[0] if 'address' in startup else None
-    disk = sqlite(startup['data']) if startup.get('data') else None
-    return Ctx(startup, clock, TcpNet(journal.count, source), disk, web(startup), journal, random.Random())
+    disk = open_disk(startup['data']) if startup.get('data') else None
+    return Context(
+        startup, clock, TcpNet(journal.count, source), disk, http_client(startup), journal, random.Random()
+    )
 
 
-def sqlite(folder: str) -> Any:
-    """The disk of a process that keeps state; its library is loaded only then: `sqlite('run/core0')`."""
+def open_disk(folder: str) -> Any:
+    """The disk of a process that keeps state; its library is loaded only then: `open_disk('run/core0')`."""
     from quillstall.runtime.disk import SqliteDisk
 
     return SqliteDisk(folder)
 
 
-def web(startup: dict) -> Any:
+def http_client(startup: dict) -> Any:
     """The JSON web, for those that have an interface in it; its client library is loaded only then.
 
-    >>> web({'role': 'core'}) is None
+    >>> http_client({'role': 'core'}) is None
     True
     """
     if 'role' in startup and not startup.get('http'):
@@ -50,7 +52,7 @@
 
 
 async def until_stopped(
-    ctx: Ctx, program: Callable[..., Coroutine], drain: Callable[[Any], Coroutine] | None = None
+    ctx: Context, program: Callable[..., Coroutine], drain: Callable[[Any], Coroutine] | None = None
 ) -> None:
     """Run a program; on a stop signal drain it, then end it: `await until_stopped(ctx, run)`."""
     running = asyncio.get_running_loop()
@@ -74,34 +76,34 @@
     ctx.journal.note('stopped')
 
 
-def tell(fault: Fault, line: Callable[[str], None]) -> None:
-    """A fault for a person's eyes, with its findings: `tell(fault, print)`."""
-    line(f'{fault.code}: {fault.text or fault.title}')
+def print_fault(fault: Fault, print_line: Callable[[str], None]) -> None:
+    """A fault for a person's eyes, with its findings: `print_fault(fault, print)`."""
+    print_line(f'{fault.code}: {fault.text or fault.title}')
     for place, text in fault.findings:
-        line(f'  {place}: {text}')
+        print_line(f'  {place}: {text}')
 
 
-def collect_rarely() -> None:
+def reduce_collections() -> None:
     """Look for garbage in cycles less often, and never among what was made until now: the modules. Nearly all
     that a request makes is freed when its last user lets go; what is kept is large and has few cycles."""
     gc.freeze()
-    gc.set_threshold(*COLLECT_AFTER)
+    gc.set_threshold(*COLLECTION_THRESHOLDS)
 
 
 def serve(
     startup: dict,
     program: Callable[..., Coroutine],
     drain: Callable[[Any], Coroutine] | None = None,
-    more: Callable[[Ctx], Ctx] | None = None,
+    more: Callable[[Context], Context] | None = None,
 ) -> int:
     """Run a real process to its end; the exit code: `serve(startup, run)`. `more` may put into its context
     what else it is to talk to."""
-    collect_rarely()
+    reduce_collections()
     with StreamHandler(sys.stderr, level='INFO').applicationbound():
         try:
             loop.run(main(startup, program, drain, more))
         except Fault as e:
-            tell(e, lambda text: print(text, file=sys.stderr))
+            print_fault(e, lambda text: print(text, file=sys.stderr))
             return 1
         except OSError as e:
             print(f'startup: {e}', file=sys.stderr)
--- a/src/quillstall/runtime/disk.py
+++ b/src/quillstall/runtime/disk.py
@@ -25,10 +25,10 @@
 from quillstall.runtime.errors import Fault
 
 FORMAT = 1
-FILE = 'quillstall.db'
-SUFFIXES = ('', '-wal')  # the files of one database; the main one first, see `set_aside`
-ASIDE = '.corrupt'
-RETRY_S = 0.2  # between two tries on a disk that takes nothing
+DATABASE_FILE = 'quillstall.db'
+DATABASE_SUFFIXES = ('', '-wal')  # the files of one database; the main one first, see `set_aside`
+CORRUPT_SUFFIX = '.corrupt'
+RETRY_INTERVAL_S = 0.2  # between two tries on a disk that takes nothing
 UNAVAILABLE_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)
 UNAVAILABLE_CODES = (sqlite3.SQLITE_FULL, sqlite3.SQLITE_IOERR, sqlite3.SQLITE_CANTOPEN)
 CORRUPT_CODES = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
@@ -57,7 +57,7 @@
         super().__init__('disk', f'torn or corrupt: {text}')
 
 
-class Unavailable(Exception):
+class DiskUnavailable(Exception):
     """The disk takes nothing now: full, refusing, or failing. It may take it later."""
 
 
@@ -87,10 +87,10 @@
     return getattr(error, 'sqlite_errorcode', 0) & 0xFF
 
 
-def sync_folder(place: str) -> None:
+def sync_folder(path: str) -> None:
     """Make the names in a folder durable: `sync_folder('/var/lib/quillstall')`."""
     try:
-        handle = os.open(place, os.O_RDONLY)
+        handle = os.open(path, os.O_RDONLY)
     except PermissionError:  # the folder above is not ours: it was there before us
         return
     try:
@@ -106,11 +106,11 @@
 
     def __init__(self, folder: str):
         self.folder = folder
-        self.path = os.path.join(folder, FILE)
+        self.path = os.path.join(folder, DATABASE_FILE)
         self.queue: Queue = Queue()
         self.pool = ThreadPoolExecutor(1)
         self.task: asyncio.Task | None = None
-        self.base: sqlite3.Connection | None = None
+        self.connection: sqlite3.Connection | None = None
         self.lock: Any = None
         self.syncs = 0
         self.retries = 0  # how often it took nothing
@@ -123,9 +123,9 @@
             try:
                 rows = await loop.run_in_executor(self.pool, self._open)
                 break
-            except Unavailable:
+            except DiskUnavailable:
                 self.retries += 1
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
         self.task = asyncio.ensure_future(self._run())
         return rows
 
@@ -133,23 +133,23 @@
         self._take_lock()
         try:
             rows = self._read()
-            for place in (self.folder, os.path.dirname(os.path.abspath(self.folder))):
-                sync_folder(place)
+            for path in (self.folder, os.path.dirname(os.path.abspath(self.folder))):
+                sync_folder(path)
         except sqlite3.Error as e:
-            self._drop()
+            self._close_database()
             if primary_code(e) in UNAVAILABLE_CODES:
-                raise Unavailable(str(e)) from e
+                raise DiskUnavailable(str(e)) from e
             if primary_code(e) in CORRUPT_CODES:
                 raise CorruptFile(f'{self.path}: {e}') from e
             raise Fault('disk', f'{self.path}: cannot be opened for writing: {e}') from e
         except OSError as e:
-            self._drop()
-            raise Unavailable(str(e)) from e
+            self._close_database()
+            raise DiskUnavailable(str(e)) from e
         except cbor2.CBORDecodeError as e:
-            self._drop()
+            self._close_database()
             raise CorruptFile(f'{self.path}: {e}') from e
         except Fault:
-            self._drop()
+            self._close_database()
             raise
         return rows
 
@@ -166,40 +166,42 @@
             raise Fault('disk', f'{self.folder}: another process uses it') from e
         except OSError as e:
             if e.errno in UNAVAILABLE_ERRNOS:
-                raise Unavailable(str(e)) from e
+                raise DiskUnavailable(str(e)) from e
             raise Fault('disk', f'{self.folder}: cannot be written: {e}') from e
         self.lock = lock
 
     def _read(self) -> dict[str, dict[str, Any]]:
         """Open the database, make sure of it, and give all its rows."""
-        base = self.base = sqlite3.connect(self.path, check_same_thread=False, isolation_level=None)
-        base.execute('pragma locking_mode=exclusive')  # one process: no file of shared memory
-        base.execute('pragma journal_mode=wal')
-        base.execute('pragma synchronous=full')
-        seen = base.execute('pragma quick_check').fetchone()[0]
+        connection = self.connection = sqlite3.connect(
+            self.path, check_same_thread=False, isolation_level=None
+        )
+        connection.execute('pragma locking_mode=exclusive')  # one process: no file of shared memory
+        connection.execute('pragma journal_mode=wal')
+        connection.execute('pragma synchronous=full')
+        seen = connection.execute('pragma quick_check').fetchone()[0]
         if seen != 'ok':
             raise CorruptFile(f'{self.path}: {seen}')
-        made = base.execute('pragma user_version').fetchone()[0]
-        if made not in (0, FORMAT):
-            raise Fault('disk', f'{self.path}: format {made}, this program reads {FORMAT}')
-        base.execute(
+        format_number = connection.execute('pragma user_version').fetchone()[0]
+        if format_number not in (0, FORMAT):
+            raise Fault('disk', f'{self.path}: format {format_number}, this program reads {FORMAT}')
+        connection.execute(
             'create table if not exists rows (part text, key text, value blob, '
             'primary key (part, key)) without rowid'
         )
-        if made != FORMAT:
-            base.execute(f'pragma user_version={FORMAT}')
+        if format_number != FORMAT:
+            connection.execute(f'pragma user_version={FORMAT}')
         # A process that was killed after a failed sync may have left frames in the log that can be read and
         # are on no disk. Copied into the database and synced there, what is read below is durable.
-        base.execute('pragma wal_checkpoint(truncate)')
+        connection.execute('pragma wal_checkpoint(truncate)')
         rows: dict[str, dict[str, Any]] = {}
-        for part, key, value in base.execute('select part, key, value from rows'):
+        for part, key, value in connection.execute('select part, key, value from rows'):
             rows.setdefault(part, {})[key] = cbor2.loads(value)
         return rows
 
-    def _drop(self) -> None:
-        if self.base:
-            self.base.close()
-        self.base = None
+    def _close_database(self) -> None:
+        if self.connection:
+            self.connection.close()
+        self.connection = None
 
     async def set_aside(self) -> None:
         """Rename a corrupt file, durably: `await disk.set_aside()`. One that was set aside before is lost.
@@ -210,38 +212,38 @@
         await asyncio.get_running_loop().run_in_executor(self.pool, self._set_aside)
 
     def _set_aside(self) -> None:
-        self._drop()
-        for suffix in SUFFIXES:
+        self._close_database()
+        for suffix in DATABASE_SUFFIXES:
             if os.path.exists(self.path + suffix):
-                os.replace(self.path + suffix, self.path + ASIDE + suffix)
+                os.replace(self.path + suffix, self.path + CORRUPT_SUFFIX + suffix)
             sync_folder(self.folder)
 
     def was_set_aside(self) -> bool:
         """Whether a file of this folder was ever found corrupt: `disk.was_set_aside()`."""
-        return os.path.exists(self.path + ASIDE)
+        return os.path.exists(self.path + CORRUPT_SUFFIX)
 
     def _commit(self, batches: list) -> None:
         start = time.monotonic()
-        self.base.execute('begin immediate')
+        self.connection.execute('begin immediate')
         for puts in batches:
             for put in puts:
                 self._apply(put)
-        self.base.execute('commit')
+        self.connection.execute('commit')
         self.syncs += 1
         self.sync_ms = round(self.sync_ms * 0.9 + (time.monotonic() - start) * 100, 2)
 
     def _apply(self, put: Put) -> None:
         if put.key is None:
-            self.base.execute('delete from rows where part=?', (put.part,))
+            self.connection.execute('delete from rows where part=?', (put.part,))
         elif put.value is None:
-            self.base.execute('delete from rows where part=? and key=?', (put.part, put.key))
+            self.connection.execute('delete from rows where part=? and key=?', (put.part, put.key))
         else:
-            self.base.execute(
+            self.connection.execute(
                 'insert or replace into rows values (?,?,?)', (put.part, put.key, cbor2.dumps(put.value))
             )
 
     def _try_commit(self, batches: list) -> None:
-        """Write the batches, or raise `Unavailable` with nothing of them written.
+        """Write the batches, or raise `DiskUnavailable` with nothing of them written.
 
         The connection is kept. After a failed sync SQLite does not count the frames of the transaction as
         written, and the next try writes them again, so no sync is trusted that another one failed before.
@@ -249,14 +251,14 @@
         try:
             self._commit(batches)
         except sqlite3.Error as e:
-            if self.base.in_transaction:
+            if self.connection.in_transaction:
                 try:
-                    self.base.execute('rollback')
+                    self.connection.execute('rollback')
                 except sqlite3.Error:
                     pass  # SQLite has rolled it back by itself
             if primary_code(e) in CORRUPT_CODES:
                 raise CorruptFile(f'{self.path}: {e}') from e
-            raise Unavailable(str(e)) from e
+            raise DiskUnavailable(str(e)) from e
 
     async def _run(self) -> None:
         while True:
@@ -281,9 +283,9 @@
                 return None
             except CorruptFile as e:
                 return e
-            except Unavailable:
+            except DiskUnavailable:
                 self.retries += 1
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def write(self, puts: tuple) -> None:
         """Write and sync: `await disk.write((Put('p', 'k', 1),))`."""
@@ -296,6 +298,6 @@
         if self.task:
             self.task.cancel()
         self.pool.shutdown(wait=True)
-        self._drop()
+        self._close_database()
         if self.lock:
             self.lock.close()
--- a/src/quillstall/runtime/effect.py
+++ b/src/quillstall/runtime/effect.py
@@ -14,7 +14,7 @@
     to: str
     message: dict
     tag: tuple
-    limit_ms: int = 1000
+    timeout_ms: int = 1000
 
 
 class Write(NamedTuple):
@@ -31,12 +31,12 @@
 class Done(NamedTuple):
     """A command of the tag's owner has been confirmed on two disks, or has failed with a fault.
 
-    >>> Done(('call', 1), {'ok': True}).ret
+    >>> Done(('call', 1), {'ok': True}).reply
     {'ok': True}
     """
 
     tag: tuple
-    ret: dict
+    reply: dict
 
 
 class Return(NamedTuple):
@@ -47,18 +47,18 @@
     """
 
     call: Any
-    ret: dict
+    reply: dict
 
 
 class Propose(NamedTuple):
     """Ask the authority of a part to grant a seat.
 
-    >>> Propose('p00', (2, 1, 'a', 'c')).seat[0]
+    >>> Propose('p00', (2, 1, 'a', 'c')).replica_set[0]
     2
     """
 
     part: str
-    seat: tuple
+    replica_set: tuple
 
 
 class Note(NamedTuple):
@@ -75,12 +75,12 @@
 class Count(NamedTuple):
     """Add to a counter.
 
-    >>> Count('frames').more
+    >>> Count('frames').amount
     1
     """
 
-    what: str
-    more: float = 1
+    name: str
+    amount: float = 1
 
 
 class Violated(NamedTuple):
@@ -97,12 +97,12 @@
 class Heard(NamedTuple):
     """The return of an Ask; None if none came.
 
-    >>> Heard(('t',), None).ret is None
+    >>> Heard(('t',), None).reply is None
     True
     """
 
     tag: tuple
-    ret: dict | None
+    reply: dict | None
 
 
 class Wrote(NamedTuple):
--- a/src/quillstall/runtime/errors.py
+++ b/src/quillstall/runtime/errors.py
@@ -51,7 +51,7 @@
     >>> f = Fault('shed', 'queue is full', wait_ms=1500)
     >>> f.code, f.status, f.ran
     ('shed', 503, 'no')
-    >>> Fault.of(f.pack()).wait_ms
+    >>> Fault.unpack(f.pack()).wait_ms
     1500
     """
 
@@ -89,25 +89,25 @@
         }
 
     @staticmethod
-    def of(pack: dict) -> 'Fault':
+    def unpack(message: dict) -> 'Fault':
         """The fault a message stands for; an unknown code becomes 'internal'.
 
-        >>> Fault.of({'fault': 'moved'}).code
+        >>> Fault.unpack({'fault': 'moved'}).code
         'moved'
-        >>> Fault.of({'fault': 'xyz'}).code
+        >>> Fault.unpack({'fault': 'xyz'}).code
         'internal'
         """
-        code = pack['fault'] if pack['fault'] in CODES else 'internal'
+        code = message['fault'] if message['fault'] in CODES else 'internal'
         return Fault(
             code,
-            pack.get('text') or '',
-            tuple(tuple(f) for f in pack.get('findings') or ()),
-            pack.get('ran') or '',
-            pack.get('wait_ms'),
-            pack.get('more') or {},
+            message.get('text') or '',
+            tuple(tuple(f) for f in message.get('findings') or ()),
+            message.get('ran') or '',
+            message.get('wait_ms'),
+            message.get('more') or {},
         )
 
-    def problem(self, place: str = '') -> dict[str, Any]:
+    def problem(self, path: str = '') -> dict[str, Any]:
         """The body of an application/problem+json answer.
 
         >>> p = Fault('invalid', 'see findings', (('max_tokens', 'is negative'),)).problem('/v1/turns')
@@ -120,7 +120,7 @@
             'status': self.status,
             'code': self.code,
             'detail': self.text,
-            'instance': place,
+            'instance': path,
             'ran': self.ran,
         }
         if self.findings:
--- a/src/quillstall/runtime/journal.py
+++ b/src/quillstall/runtime/journal.py
@@ -6,14 +6,14 @@
 from logbook import Logger
 
 VIOLATED = 'invariant_violated'
-VIOLATIONS_NOTED = 20  # of each invariant; later ones are only counted
+MAX_NOTED_VIOLATIONS = 20  # of each invariant; later ones are only counted
 
 
 class Journal:
     """What one process counts and notes.
 
     >>> from quillstall.runtime.clock import SystemClock
-    >>> j = Journal('a', SystemClock(), most=2)
+    >>> j = Journal('a', SystemClock(), max_lines=2)
     >>> j.count('shed'); j.count('shed', 2); j.counts['shed']
     3
     >>> for n in range(3): j.note('epoch', epoch=n)
@@ -21,11 +21,11 @@
     [1, 2]
     """
 
-    def __init__(self, name: str, clock: Any, most: int = 400):
+    def __init__(self, name: str, clock: Any, max_lines: int = 400):
         self.name = name
         self.clock = clock
         self.counts: Counter = Counter()
-        self.lines: deque = deque(maxlen=most)
+        self.lines: deque = deque(maxlen=max_lines)
         self.log = Logger(name)
 
     def violated(self, name: str, **facts: Any) -> None:
@@ -38,12 +38,12 @@
         """
         counter = f'{VIOLATED}.{name}'
         self.count(counter)
-        if self.counts[counter] <= VIOLATIONS_NOTED:
+        if self.counts[counter] <= MAX_NOTED_VIOLATIONS:
             self.note(VIOLATED, invariant=name, **facts)
 
-    def count(self, what: str, more: float = 1) -> None:
+    def count(self, name: str, amount: float = 1) -> None:
         """Add to a counter: `journal.count('probes')`."""
-        self.counts[what] += more
+        self.counts[name] += amount
 
     def note(self, kind: str, **facts: Any) -> None:
         """Keep and log one change of state: `journal.note('suspect', who='s1', cause='silent')`."""
--- a/src/quillstall/runtime/loop.py
+++ b/src/quillstall/runtime/loop.py
@@ -5,7 +5,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-SKIPPED_MOST = 4  # turns of the loop in a row without a question to the system
+MAX_SKIPPED_POLLS = 4  # turns of the loop in a row without a question to the system
 
 
 class BusySelector(selectors.EpollSelector):
@@ -13,26 +13,26 @@
 
     asyncio asks its selector in each turn of the loop, also while callbacks are ready; one message takes five
     or so turns, as each task that waits for another wakes a turn later. A question that would not wait is
-    answered with "nothing new" here, `SKIPPED_MOST` times in a row at most. What has come in is seen some
+    answered with "nothing new" here, `MAX_SKIPPED_POLLS` times in a row at most. What has come in is seen some
     callbacks later; a question that waits always goes to the system.
 
-    >>> a = BusySelector(); a.skipped = SKIPPED_MOST - 1; a.select(0), a.skipped
+    >>> a = BusySelector(); a.skipped_polls = MAX_SKIPPED_POLLS - 1; a.select(0), a.skipped_polls
     ([], 4)
-    >>> a.select(0), a.skipped
+    >>> a.select(0), a.skipped_polls
     ([], 0)
     >>> a.close()
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.skipped = 0
+        self.skipped_polls = 0
 
     def select(self, timeout: float | None = None) -> list:
         """The descriptors that are ready: see the class."""
-        if timeout is not None and timeout <= 0 and self.skipped < SKIPPED_MOST:
-            self.skipped += 1
+        if timeout is not None and timeout <= 0 and self.skipped_polls < MAX_SKIPPED_POLLS:
+            self.skipped_polls += 1
             return []
-        self.skipped = 0
+        self.skipped_polls = 0
         return super().select(timeout)
 
 
@@ -41,7 +41,7 @@
     return asyncio.SelectorEventLoop(BusySelector())
 
 
-def run(work: Coroutine[Any, Any, Any]) -> Any:
+def run(program: Coroutine[Any, Any, Any]) -> Any:
     """Run a program in a loop of its own to its end.
 
     >>> async def two(): return 2
@@ -49,4 +49,4 @@
     2
     """
     with asyncio.Runner(loop_factory=new_loop) as runner:
-        return runner.run(work)
+        return runner.run(program)
--- a/src/quillstall/runtime/metrics.py
+++ b/src/quillstall/runtime/metrics.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping
 
 CONTENT_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
-EVENTS = 'quillstall_events_total'
-GAUGE = 'quillstall_gauge'
+EVENTS_METRIC = 'quillstall_events_total'
+GAUGE_METRIC = 'quillstall_gauge'
 
 
 def exposition(counts: Mapping[str, float], gauges: Mapping[str, float]) -> bytes:
@@ -16,17 +16,23 @@
     # TYPE quillstall_gauge gauge
     quillstall_gauge{of="pending"} 1.5
     """
-    lines = [f'# TYPE {EVENTS} counter']
-    lines += [f'{EVENTS}{{event="{label(name)}"}} {number:g}' for name, number in sorted(counts.items())]
-    lines.append(f'# TYPE {GAUGE} gauge')
-    lines += [f'{GAUGE}{{of="{label(name)}"}} {number:g}' for name, number in sorted(gauges.items())]
+    lines = [f'# TYPE {EVENTS_METRIC} counter']
+    lines += [
+        f'{EVENTS_METRIC}{{event="{escape_label_value(name)}"}} {number:g}'
+        for name, number in sorted(counts.items())
+    ]
+    lines.append(f'# TYPE {GAUGE_METRIC} gauge')
+    lines += [
+        f'{GAUGE_METRIC}{{of="{escape_label_value(name)}"}} {number:g}'
+        for name, number in sorted(gauges.items())
+    ]
     return ('\n'.join(lines) + '\n').encode()
 
 
-def label(text: str) -> str:
+def escape_label_value(text: str) -> str:
     """A text as the value of a label.
 
-    >>> label('a"b')
+    >>> escape_label_value('a"b')
     'a\\\\"b'
     """
     return text.replace('\\', '\\\\').replace('"', '\\"').replace('\n', '\\n')
--- a/src/quillstall/runtime/process.py
+++ b/src/quillstall/runtime/process.py
@@ -14,31 +14,33 @@
 
 from tornado.queues import Queue
 
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.effect import Ask, Count, Heard, Note, Return, Tick, Told, Violated, Write, Wrote
 from quillstall.runtime.errors import Fault
 
-TICK = timedelta(milliseconds=100)
-SILENT_MS = 2000  # where the startup does not say so: so long silent, a member is given up by the others
-BLOCKED_SHARE = 0.6  # of that time a write waits for its sync before the process counts as blocked
+TICK_INTERVAL = timedelta(milliseconds=100)
+DEFAULT_SILENT_MS = (
+    2000  # where the startup does not say so: so long silent, a member is given up by the others
+)
+BLOCKED_FRACTION = 0.6  # of that time a write waits for its sync before the process counts as blocked
 SLOW_SYNC_S = 0.3  # a write that waits for its sync for longer is told of
-SLOW_SYNC_NOTED_EVERY_S = 1.0
+SLOW_SYNC_NOTE_INTERVAL_S = 1.0
 LATE_TICK_S = 0.3  # a clock event that comes so much later than it should is told of: the loop stood still
 SLOW_STEP_S = 0.15  # a step of the reducer that takes longer is told of
-ANSWERED_WHEN_BLOCKED = {  # they confirm nothing
+MESSAGES_ANSWERED_WHEN_BLOCKED = {  # they confirm nothing
     'core': ('status',),  # for people who look
     'store': (
         'status',
         'who',
     ),  # other stores' pings: it is not lost, so no partition may go on with one copy
 }
-SENT_WHEN_BLOCKED = ('poll',)  # a store's last word to the core
+MESSAGES_SENT_WHEN_BLOCKED = ('poll',)  # a store's last word to the core
 
 
-class Ctx(NamedTuple):
+class Context(NamedTuple):
     """The one context object of a process: everything it may touch.
 
-    >>> Ctx({'name': 'a'}, None, None, None, None, None, None).startup['name']
+    >>> Context({'name': 'a'}, None, None, None, None, None, None).startup['name']
     'a'
     """
 
@@ -48,10 +50,10 @@
     disk: Any
     web: Any
     journal: Any
-    dice: Any
+    rng: Any
     lister: Any = None  # whom to ask for the replicas of listed pools
     dialect: Any = None  # the names of a gateway's headers
-    desk: Any = None  # another interface for operators, beside our own
+    admin_api: Any = None  # another interface for operators, beside our own
 
 
 def blocked_after_s(startup: dict) -> float:
@@ -61,25 +63,25 @@
     >>> blocked_after_s({'silent_ms': 1000})
     0.6
     """
-    return startup.get('silent_ms', SILENT_MS) * BLOCKED_SHARE / 1000
+    return startup.get('silent_ms', DEFAULT_SILENT_MS) * BLOCKED_FRACTION / 1000
 
 
-class Host:
+class ReducerRunner:
     """A running reducer: its queue, its state, its calls in flight."""
 
-    def __init__(self, ctx: Ctx, state: Any, step: Callable, where: Callable):
+    def __init__(self, ctx: Context, state: Any, step: Callable, address_of: Callable):
         self.ctx = ctx
         self.state = state
         self.step = step
-        self.where = where
+        self.address_of = address_of
         self.queue: Queue = Queue()
         self.calls: dict[int, asyncio.Future] = {}
-        self.last = 0
+        self.last_call = 0
         self.tasks: set = set()
-        self.dead: asyncio.Future | None = None
+        self.failure: asyncio.Future | None = None
         self.unsynced: deque[float] = deque()  # when each write that is not synced was begun, in order
-        self.noted_blocked = False
-        self.slow_sync_noted = -SLOW_SYNC_NOTED_EVERY_S
+        self.reported_blocked = False
+        self.slow_sync_noted_at = -SLOW_SYNC_NOTE_INTERVAL_S
         self.blocked_after_s = blocked_after_s(ctx.startup)
 
     def spawn(self, work: Any) -> None:
@@ -88,22 +90,25 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def told(self, message: dict) -> dict:
-        """The reducer's return to a message: `await host.told({'k': 'who'})`.
+    async def handle(self, message: dict) -> dict:
+        """The reducer's return to a message: `await host.handle({'k': 'who'})`.
 
         A message names whom it is meant for: at the address of a machine that lost its disk lives
         another member now, which must not speak for the old one."""
         if message.get('to') not in (None, self.state.me):
             return Fault('refused', f'{message["to"]} does not live here now').pack()
-        if self.blocked() and message.get('k') not in ANSWERED_WHEN_BLOCKED[self.ctx.startup['role']]:
+        if (
+            self.blocked()
+            and message.get('k') not in MESSAGES_ANSWERED_WHEN_BLOCKED[self.ctx.startup['role']]
+        ):
             self.ctx.journal.count('blocked')
             return Fault(f'{self.ctx.startup["role"]}_away', 'the disk takes no writes now').pack()
-        self.last += 1
-        call = self.last
-        wait = self.calls[call] = asyncio.get_running_loop().create_future()
+        self.last_call += 1
+        call = self.last_call
+        future = self.calls[call] = asyncio.get_running_loop().create_future()
         self.queue.put_nowait(Told(call, message))
         try:
-            return await wait
+            return await future
         finally:
             self.calls.pop(call, None)
 
@@ -117,19 +122,19 @@
     def note_blocked(self) -> None:
         """Tell the reducer when the process becomes blocked, and the journal of that and of its end."""
         blocked = self.blocked()
-        if blocked != self.noted_blocked:
-            self.noted_blocked = blocked
+        if blocked != self.reported_blocked:
+            self.reported_blocked = blocked
             if blocked:
                 self.queue.put_nowait(Tick(self.wall_ahead(), blocked=True))
             self.ctx.journal.note('disk_blocked' if blocked else 'disk_serves', unsynced=len(self.unsynced))
 
     async def run(self) -> None:
         """Step through events until the disk's file is found corrupt; then stop at once: `await host.run()`."""
-        self.dead = asyncio.get_running_loop().create_future()
-        self.spawn(self.ticks())
+        self.failure = asyncio.get_running_loop().create_future()
+        self.spawn(self.send_ticks())
         self.spawn(self.loop())
         try:
-            await self.dead
+            await self.failure
         finally:
             for task in list(self.tasks):
                 task.cancel()
@@ -137,32 +142,34 @@
     async def loop(self) -> None:
         while True:
             event = await self.queue.get()
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             try:
                 self.state, effects = self.step(self.state, event, self.ctx.clock.now())
             except (KeyError, TypeError, ValueError, AttributeError, IndexError) as e:
                 self.ctx.journal.count('garbled')
                 if type(event) is not Told:
-                    self.dead.set_exception(e)
+                    self.failure.set_exception(e)
                     return
-                self.finish(event.call, Fault('garbled', f'{type(e).__name__}: {e}').pack())
+                self.send_reply(event.call, Fault('garbled', f'{type(e).__name__}: {e}').pack())
                 continue
-            self.note_slow_step(event, began)
+            self.note_slow_step(event, started_at)
             for effect in effects:
                 self.perform(effect)
 
-    def note_slow_step(self, event: Any, began: float) -> None:
+    def note_slow_step(self, event: Any, started_at: float) -> None:
         """Note a step that took long, with what it was about."""
-        took = asyncio.get_running_loop().time() - began
-        if took > SLOW_STEP_S:
+        duration = asyncio.get_running_loop().time() - started_at
+        if duration > SLOW_STEP_S:
             about = event.message.get('k') if type(event) is Told else getattr(event, 'tag', None)
-            self.ctx.journal.note('step_slow', ms=round(took * 1000), event=type(event).__name__, of=about)
+            self.ctx.journal.note(
+                'step_slow', ms=round(duration * 1000), event=type(event).__name__, of=about
+            )
 
     def perform(self, effect: Any) -> None:
         """Carry out one effect; what takes time goes on in a task of its own."""
         kind = type(effect)
         if kind is Return:
-            self.finish(effect.call, effect.ret)
+            self.send_reply(effect.call, effect.reply)
         elif kind is Ask:
             self.spawn(self.ask(effect))
         elif kind is Write:
@@ -170,32 +177,32 @@
         elif kind is Note:
             self.ctx.journal.note(effect.kind, **effect.facts)
         elif kind is Count:
-            self.ctx.journal.count(effect.what, effect.more)
+            self.ctx.journal.count(effect.name, effect.amount)
         elif kind is Violated:
             self.ctx.journal.violated(effect.name, **effect.facts)
 
-    def note_slow_sync(self, began: float) -> None:
+    def note_slow_sync(self, started_at: float) -> None:
         """Count a write whose sync took long, and note it unless one was noted in the last second."""
         now = asyncio.get_running_loop().time()
-        if now - began <= SLOW_SYNC_S:
+        if now - started_at <= SLOW_SYNC_S:
             return
         self.ctx.journal.count('sync.slow')
-        if now - self.slow_sync_noted >= SLOW_SYNC_NOTED_EVERY_S:
-            self.slow_sync_noted = now
-            self.ctx.journal.note('sync_slow', ms=round((now - began) * 1000), behind=len(self.unsynced))
+        if now - self.slow_sync_noted_at >= SLOW_SYNC_NOTE_INTERVAL_S:
+            self.slow_sync_noted_at = now
+            self.ctx.journal.note('sync_slow', ms=round((now - started_at) * 1000), behind=len(self.unsynced))
 
-    def finish(self, call: int, ret: dict) -> None:
-        wait = self.calls.get(call)
-        if wait and not wait.done():
-            wait.set_result(ret)
+    def send_reply(self, call: int, reply: dict) -> None:
+        future = self.calls.get(call)
+        if future and not future.done():
+            future.set_result(reply)
 
-    async def ticks(self) -> None:
+    async def send_ticks(self) -> None:
         while True:
             self.note_blocked()
             if not self.blocked():
                 self.queue.put_nowait(Tick(self.wall_ahead()))
-            due = asyncio.get_running_loop().time() + TICK.total_seconds()
-            await self.ctx.clock.sleep(TICK)
+            due = asyncio.get_running_loop().time() + TICK_INTERVAL.total_seconds()
+            await self.ctx.clock.sleep(TICK_INTERVAL)
             self.note_late_tick(due)
 
     def note_late_tick(self, due: float) -> None:
@@ -210,31 +217,31 @@
         return self.ctx.clock.wall() - self.ctx.clock.now()
 
     async def ask(self, effect: Ask) -> None:
-        ret = None
-        if self.blocked() and effect.message['k'] not in SENT_WHEN_BLOCKED:
+        reply = None
+        if self.blocked() and effect.message['k'] not in MESSAGES_SENT_WHEN_BLOCKED:
             self.queue.put_nowait(Heard(effect.tag, None))
             return
-        address = self.where(self.state, effect.to)
+        address = self.address_of(self.state, effect.to)
         self.ctx.journal.count('asked.' + effect.message['k'])
         message = effect.message if ':' in effect.to else {**effect.message, 'to': effect.to}
         if address == self.ctx.startup['address']:
-            ret = await self.told(message)
+            reply = await self.handle(message)
         elif address:
             try:
-                ret = await self.ctx.net.ask(address, message, of_ms(effect.limit_ms))
+                reply = await self.ctx.net.ask(address, message, from_ms(effect.timeout_ms))
             except Fault as e:
-                ret = None if e.code in ('unreachable', 'lost', 'slow') else e.pack()
-        self.queue.put_nowait(Heard(effect.tag, ret))
+                reply = None if e.code in ('unreachable', 'lost', 'slow') else e.pack()
+        self.queue.put_nowait(Heard(effect.tag, reply))
 
     async def write(self, effect: Write) -> None:
-        began = asyncio.get_running_loop().time()
-        self.unsynced.append(began)
+        started_at = asyncio.get_running_loop().time()
+        self.unsynced.append(started_at)
         try:
             await self.ctx.disk.write(effect.puts)
         except Fault as e:
-            if not self.dead.done():
-                self.dead.set_exception(e)
+            if not self.failure.done():
+                self.failure.set_exception(e)
             return
         self.unsynced.popleft()
-        self.note_slow_sync(began)
+        self.note_slow_sync(started_at)
         self.queue.put_nowait(Wrote(effect.tag))
--- a/src/quillstall/testbed/caller.py
+++ b/src/quillstall/testbed/caller.py
@@ -8,15 +8,15 @@
 from typing import Any
 
 from quillstall.network.web import fetch
-from quillstall.runtime.clock import ms, of_ms
+from quillstall.runtime.clock import from_ms, ms
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx
+from quillstall.runtime.process import Context
 from quillstall.testbed.deploy import Flow
 from quillstall.testbed.replica import digest, memory
 
 PROMPT_TOKENS = 14_000
 TALK_TOKENS = 300
-SLACK = of_ms(250)
+SLACK = from_ms(250)
 AWAY = ('store_away', 'no_lease', 'not_kept', 'outcome_unknown')
 
 
@@ -33,7 +33,7 @@
 class Crowd:
     """All callers of one deployment, and what they have seen."""
 
-    def __init__(self, ctx: Ctx, flows: list[Flow], doors: list[str], name: str = 'crowd'):
+    def __init__(self, ctx: Context, flows: list[Flow], doors: list[str], name: str = 'crowd'):
         self.ctx = ctx
         self.flows = flows
         self.doors = doors
@@ -67,14 +67,14 @@
         task.add_done_callback(self.tasks.discard)
 
     async def play(self, span: timedelta, rate: float = 1.0) -> None:
-        """Bring the traffic for a while, `rate` times as dense: `await crowd.play(of_ms(5000))`."""
+        """Bring the traffic for a while, `rate` times as dense: `await crowd.play(from_ms(5000))`."""
         start = self.ctx.clock.now()
         end = start + span
         self.spans.append((start, end))
         await asyncio.gather(*[self.stream(flow, end, rate) for flow in self.flows])
 
     async def stream(self, flow: Flow, end: Any, rate: float) -> None:
-        clock, dice = self.ctx.clock, self.ctx.dice
+        clock, dice = self.ctx.clock, self.ctx.rng
         while True:
             await clock.sleep(timedelta(seconds=dice.expovariate(flow.per_s * rate)))
             if clock.now() >= end or self.over:
@@ -95,7 +95,7 @@
 
     def door(self) -> str:
         """A routing node, as a client's list of addresses would give it: `crowd.door()`."""
-        return self.ctx.dice.choice(self.doors)
+        return self.ctx.rng.choice(self.doors)
 
     def broken(self, rule: str, text: str) -> None:
         """A rule was broken: `crowd.broken('own_answer', '...')`."""
@@ -104,7 +104,7 @@
     def done(self, kind: str, how: str, start: Any, deadline_ms: int, door: str = '') -> None:
         """Count how one piece of work ended: `crowd.done('quote', 'good', start, 3000)`."""
         took = self.ctx.clock.now() - start
-        if how == 'good' and took > of_ms(deadline_ms):
+        if how == 'good' and took > from_ms(deadline_ms):
             how = 'late'
         self.counts[f'{kind}.{how}'] += 1
         if how != 'good' and not how.endswith('.budget'):
@@ -116,12 +116,14 @@
         if how == 'good':
             self.good.append(self.ctx.clock.now())
             self.times.setdefault(kind, []).append(ms(took))
-        elif how.startswith('refused') and took > of_ms(deadline_ms) + SLACK and not self.stood(door, start):
+        elif (
+            how.startswith('refused') and took > from_ms(deadline_ms) + SLACK and not self.stood(door, start)
+        ):
             self.broken('refusal_in_time', f'{kind} {how} after {ms(took)} ms of {deadline_ms}')
 
     async def talk(self, flow: Flow, program: str, helper: bool = False) -> None:
         """One conversation of a program: its turns, plain calls between, sometimes a helper beside."""
-        clock, dice = self.ctx.clock, self.ctx.dice
+        clock, dice = self.ctx.clock, self.ctx.rng
         history: list = []
         goes, tries = None, 0
         n = 0
@@ -147,7 +149,7 @@
                 tries += 1
                 if wait is None or tries > self.tries:
                     return
-                await clock.sleep(of_ms(wait))
+                await clock.sleep(from_ms(wait))
                 continue
             history.append([body['prompt'], text])
             goes = ident
@@ -161,13 +163,13 @@
                     )
                 if not helper and dice.random() < flow.helper:
                     self.spawn(self.talk(flow._replace(turns=2, helper=0.0), program, True))
-                await clock.sleep(of_ms(flow.think_ms * (0.5 + dice.random())))
+                await clock.sleep(from_ms(flow.think_ms * (0.5 + dice.random())))
 
     async def turn(self, flow: Flow, body: dict, history: list) -> tuple:
         """One turn: its id, text, and how long to wait if it was refused."""
         start = self.ctx.clock.now()
         door = self.door()
-        web = self.ctx.web.open(door, 'POST', '/v1/turns', body, {}, of_ms(flow.deadline_ms + 3000))
+        web = self.ctx.web.open(door, 'POST', '/v1/turns', body, {}, from_ms(flow.deadline_ms + 3000))
         status, heads, lines, code = 0, {}, [], None
         ended = False
         try:
@@ -259,7 +261,7 @@
         """One plain call; a keyed one is repeated with its key until its outcome is known."""
         clock = self.ctx.clock
         self.last += 1
-        body = {'n': self.last, 'x': self.ctx.dice.random()}
+        body = {'n': self.last, 'x': self.ctx.rng.random()}
         key = f'{self.name}-{service}-{self.last}'
         heads = {'X-Deadline-Ms': str(deadline_ms), **({'Idempotency-Key': key} if keyed else {})}
         told = (
@@ -277,13 +279,13 @@
                     f'/v1/services/{service}{path}',
                     body,
                     heads,
-                    of_ms(deadline_ms + 2000),
+                    from_ms(deadline_ms + 2000),
                 )
             except Fault as e:
                 self.done(name, f'no_answer.{e.code}', start, deadline_ms)
                 told['seen'].append(f'{clock.now().isoformat()} none: {e.code}')
                 told['refused'] = False
-                await clock.sleep(of_ms(500))
+                await clock.sleep(from_ms(500))
                 continue
             if status == 200 and got.get('x-quillstall-source') == 'replica':
                 if data['echo'] != digest(json.dumps(body)):
@@ -299,7 +301,7 @@
                 keyed and told['seen'] and not told['refused'] and status >= 409 and status != 422
             ):
                 return
-            await clock.sleep(of_ms(min(wait or 900, 5000)))
+            await clock.sleep(from_ms(min(wait or 900, 5000)))
 
     def refusal_ms(self) -> dict:
         """How soon refusals came: `crowd.refusal_ms()`."""
--- a/src/quillstall/testbed/fleet.py
+++ b/src/quillstall/testbed/fleet.py
@@ -45,7 +45,7 @@
         self.crowd.stood = lambda door, start: door in self.frozen
         self.cores = ','.join(s['http'] for s in deploy.machines if s['role'] == 'core')
         self.clock = self.ctx.clock
-        self.operators = Operators(self, self.ctx.dice)
+        self.operators = Operators(self, self.ctx.rng)
         self.seen: dict[str, int] = {}  # routing node -> its generation when last asked
         self.slips: list[str] = []
 
--- a/src/quillstall/testbed/growth.py
+++ b/src/quillstall/testbed/growth.py
@@ -18,7 +18,7 @@
 from quillstall.controlplane import core
 from quillstall.replication import group
 from quillstall.replication.group import Grant, Op, Reconfiguration, ReplicaSet
-from quillstall.runtime.disk import FILE, SqliteDisk
+from quillstall.runtime.disk import DATABASE_FILE, SqliteDisk
 from quillstall.runtime.effect import Done, Write, Wrote
 from quillstall.testbed.deploy import DEPLOYS
 
@@ -73,7 +73,7 @@
                     await self.disk.write(effect.puts)
                     events.append(Wrote(effect.tag))
                 elif type(effect) is Done:
-                    returned.append(effect.ret)
+                    returned.append(effect.reply)
         return returned
 
     async def change(self, number: int) -> None:
@@ -91,7 +91,7 @@
 
     def size(self, suffix: str = '') -> float:
         """The KiB of one of its files: `replica.size('-wal')`."""
-        path = os.path.join(self.folder, FILE + suffix)
+        path = os.path.join(self.folder, DATABASE_FILE + suffix)
         return os.path.getsize(path) / 1024 if os.path.exists(path) else 0.0
 
 
--- a/src/quillstall/testbed/hollow.py
+++ b/src/quillstall/testbed/hollow.py
@@ -14,7 +14,7 @@
 from quillstall.runtime.clock import SystemClock
 from quillstall.runtime.errors import Fault
 from quillstall.runtime.journal import Journal
-from quillstall.runtime.process import Ctx
+from quillstall.runtime.process import Context
 
 KEPT = 4000  # round trips kept for the percentiles
 
@@ -88,7 +88,7 @@
 class Hollow(Node):
     """A routing node that carries no traffic, and notes when it has heard what."""
 
-    def __init__(self, ctx: Ctx, book: Book):
+    def __init__(self, ctx: Context, book: Book):
         super().__init__(ctx)
         self.counted = book
         self.pool_names: tuple = ()
@@ -187,7 +187,7 @@
         s = {**spec, 'http': spec['address'], 'seeds': self.startup['seeds']}
         clock = SystemClock()
         net = MeteredNet(split(s['address'])[0], s['seeds'], self.startup['stores'], self.book)
-        ctx = Ctx(s, clock, net, None, None, Journal(s['name'], clock, 20), random.Random())
+        ctx = Context(s, clock, net, None, None, Journal(s['name'], clock, 20), random.Random())
         self.nodes[s['name']] = node = Hollow(ctx, self.book)
         self.work[s['name']] = asyncio.ensure_future(node.run())
 
@@ -237,7 +237,7 @@
 def program(startup: dict) -> Callable:
     """The program of one process of hollow nodes: `serve(startup, program(startup))`."""
 
-    async def run(ctx: Ctx, ready: Any = None) -> None:
+    async def run(ctx: Context, ready: Any = None) -> None:
         host = Host(startup)
         await ctx.net.serve(startup['address'], host.told)
         for spec in startup['nodes']:
--- a/src/quillstall/testbed/model/breaks.py
+++ b/src/quillstall/testbed/model/breaks.py
@@ -365,8 +365,8 @@
     real = ballot.handle_reply
 
     def heard(run: Any, event: Any, *more: Any) -> tuple:
-        if event.ret and event.ret.get('seat'):
-            event = event._replace(ret={**event.ret, 'seat': None})
+        if event.reply and event.reply.get('seat'):
+            event = event._replace(reply={**event.reply, 'seat': None})
         return real(run, event, *more)
 
     with patch.object(ballot, 'handle_reply', heard):
@@ -379,7 +379,7 @@
     real = ballot.handle_reply
 
     def heard(run: Any, event: Any, me: str, crews: tuple, own: Any, *more: Any) -> tuple:
-        ret = event.ret or {}
+        ret = event.reply or {}
         if ret.get('seat') and event.tag[2] == 'ask' and own and ret['seat'][0] > own.epoch:
             return ballot.fail_round(run, more[-1]), (), (group.Grant('core', ReplicaSet(*ret['seat'])),)
         return real(run, event, me, crews, own, *more)
@@ -394,9 +394,9 @@
     real = core.finish_command
 
     def done(state: Any, effect: Done, *more: Any) -> Any:
-        if 'rows' in effect.ret:
+        if 'rows' in effect.reply:
             newest = core_state.core_copy(state).rows
-            effect = effect._replace(ret={**effect.ret, 'rows': newest})
+            effect = effect._replace(reply={**effect.reply, 'rows': newest})
         return real(state, effect, *more)
 
     with patch.object(core, 'finish_command', done):
--- a/src/quillstall/testbed/model/world.py
+++ b/src/quillstall/testbed/model/world.py
@@ -69,9 +69,9 @@
             to = effect.to.split(':')[0]
             world = post(world, Envelope(name, member.starts, to, effect.message, effect.tag))
         elif kind is Propose:
-            world = post(world, Envelope(name, member.starts, AUTHORITY, effect.seat, ('seat',)))
+            world = post(world, Envelope(name, member.starts, AUTHORITY, effect.replica_set, ('seat',)))
         elif kind is Done:
-            world = returned(world, name, effect.tag, effect.ret)
+            world = returned(world, name, effect.tag, effect.reply)
         elif kind is Return:
             world = answer(world, name, effect)
         elif kind is Note and effect.kind == 'apart':
@@ -86,7 +86,7 @@
 def answer(world: World, name: str, effect: Return) -> World:
     """An answer of a member: to a client, or to another member's request."""
     if isinstance(effect.call, tuple):
-        return returned(world, name, effect.call, effect.ret)
+        return returned(world, name, effect.call, effect.reply)
     member = world.members[name]
     request = member.calls.get(effect.call)
     if request is None:
@@ -95,7 +95,7 @@
     world = world._replace(members=world.members.set(name, member))
     if not request.waited:
         return world
-    return post(world, request._replace(message=None, answer=effect.ret, is_answer=True))
+    return post(world, request._replace(message=None, answer=effect.reply, is_answer=True))
 
 
 def returned(world: World, name: str, tag: tuple, ret: dict) -> World:
--- a/src/quillstall/testbed/replica.py
+++ b/src/quillstall/testbed/replica.py
@@ -11,8 +11,8 @@
 from hashlib import blake2b
 from typing import Any
 
-from quillstall.runtime.clock import ms, of_ms
-from quillstall.runtime.process import Ctx
+from quillstall.runtime.clock import from_ms, ms
+from quillstall.runtime.process import Context
 
 MODES = ('well', 'lose', 'cut', 'stall', 'slow', 'refuse')
 
@@ -47,14 +47,14 @@
 class Replica:
     """One stand-in back end."""
 
-    def __init__(self, ctx: Ctx):
+    def __init__(self, ctx: Context):
         s = ctx.startup
         self.ctx = ctx
         self.kind = s['kind']
         self.slots = s['slots']
         self.prefill = s.get('prefill_per_s', 20_000)
-        self.step = of_ms(s.get('step_ms', 20))
-        self.work = of_ms(s.get('work_ms', 60))
+        self.step = from_ms(s.get('step_ms', 20))
+        self.work = from_ms(s.get('work_ms', 60))
         self.kv_most = s.get('kv_tokens', 400_000)
         self.mode, self.share = 'well', 1.0
         self.active = 0
@@ -120,7 +120,7 @@
         if path == '/log':
             await out.whole(200, {'runs': self.runs, 'counts': dict(self.counts), 'peak': self.peak})
             return
-        mode = self.mode if self.ctx.dice.random() < self.share else 'well'
+        mode = self.mode if self.ctx.rng.random() < self.share else 'well'
         if mode == 'refuse':
             await out.whole(503, {'code': 'replica_full'})
             return
@@ -207,7 +207,7 @@
         await out.whole(200, {'path': path, 'echo': digest(call.body.decode()), 'key': key})
 
 
-async def run(ctx: Ctx, ready: Any = None) -> None:
+async def run(ctx: Context, ready: Any = None) -> None:
     """A replica from its context to its end: `await run(ctx)`."""
     replica = Replica(ctx)
     await ctx.web.serve(ctx.startup['http'], replica.serve)
--- a/src/quillstall/testbed/scale.py
+++ b/src/quillstall/testbed/scale.py
@@ -19,7 +19,7 @@
 from quillstall.controlplane import core_state, leases, shelf, slot_allocation
 from quillstall.network.web import fetch
 from quillstall.replication import group
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.errors import Fault
 from quillstall.testbed.deploy import Deploy, machines, pools, replicas
 from quillstall.testbed.fleet import Fleet, memory_mb
@@ -400,7 +400,7 @@
             'budget': 10**6,
             'stream': True,
         }
-        flow = self.fleet.ctx.web.open(door, 'POST', '/v1/turns', body, {}, of_ms(6000))
+        flow = self.fleet.ctx.web.open(door, 'POST', '/v1/turns', body, {}, from_ms(6000))
         try:
             while True:
                 kind, *rest = await flow.next()
--- a/src/quillstall/testbed/sim.py
+++ b/src/quillstall/testbed/sim.py
@@ -24,7 +24,7 @@
 from quillstall.runtime.disk import CorruptFile, IDisk, Put
 from quillstall.runtime.errors import Fault
 from quillstall.runtime.journal import Journal
-from quillstall.runtime.process import Ctx
+from quillstall.runtime.process import Context
 from quillstall.testbed.loop import VirtualLoop, finish
 
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
@@ -132,13 +132,13 @@
         made = self.machines[name] = Machine(self, name, address)
         return made
 
-    def ctx(self, machine: Machine, startup: dict) -> Ctx:
+    def ctx(self, machine: Machine, startup: dict) -> Context:
         """The context of a program on a machine: `world.ctx(machine, startup)`."""
         clock = SimClock(self, machine)
         journal = Journal(machine.name, clock)
         journal.log.disabled = True
         machine.journal = journal
-        return Ctx(
+        return Context(
             startup,
             clock,
             SimNet(self, machine),
@@ -148,7 +148,7 @@
             random.Random(self.dice.random()),
         )
 
-    def start(self, machine: Machine, startup: dict, program: Callable[[Ctx], Coroutine]) -> None:
+    def start(self, machine: Machine, startup: dict, program: Callable[[Context], Coroutine]) -> None:
         """Start a program on a machine: `world.start(m, startup, run)`."""
         machine.up = True
         machine.life += 1
@@ -282,7 +282,7 @@
             raise Fault(ret, address)
         ret = cbor2.loads(ret)
         if 'fault' in ret:
-            raise Fault.of(ret)
+            raise Fault.unpack(ret)
         return ret
 
     async def way(self, address: str, body: bytes, wait: asyncio.Future) -> None:
--- a/src/quillstall/testbed/soak/member.py
+++ b/src/quillstall/testbed/soak/member.py
@@ -7,12 +7,12 @@
 
 from quillstall.network.httpclient import HttpClient
 from quillstall.network.listing import digest
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.daemon import serve
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx
+from quillstall.runtime.process import Context
 
-LIST_LIMIT = of_ms(900)
+LIST_LIMIT = from_ms(900)
 
 
 class ListReader:
@@ -54,7 +54,7 @@
 def run_member(startup: dict) -> int:
     """Run a process of the fleet to its end; its exit code: `run_member(startup)`."""
 
-    def with_list(ctx: Ctx) -> Ctx:
+    def with_list(ctx: Context) -> Context:
         source = startup['address'].rpartition(':')[0]
         return ctx._replace(lister=ListReader(startup['list'], ctx.clock, ctx.journal.count, source))
 
@@ -62,7 +62,7 @@
         from quillstall.dataplane.node import Node, run
 
         async def drain(node: Node) -> None:
-            await node.drain(of_ms(startup['drain_ms']))
+            await node.drain(from_ms(startup['drain_ms']))
 
         return serve(startup, run, drain, with_list)
     from quillstall.controlplane.run import hand_over
