--- a/src/quillstall/runtime/__init__.py
+++ b/src/quillstall/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Runtime: what a process stands on: its clock, disk, journal, effects, errors and main loop."""
+"""The runtime of a process: clock, disk, journal, effects, errors and the loop that runs a reducer."""
--- a/src/quillstall/runtime/clock.py
+++ b/src/quillstall/runtime/clock.py
@@ -1,7 +1,7 @@
-"""Clocks of one process: the steady clock, on which leases and deadlines are counted, and the wall clock.
+"""The clocks of a process: a steady (monotonic) clock for leases and deadlines, and the wall clock.
 
-The steady clock cannot be set and counts the time that the machine was suspended. The wall clock is
-for what people read, and for times that are compared between machines or kept over a restart.
+The steady clock cannot be set, and it includes time during which the machine was suspended. The wall clock
+serves for times that people read, that machines compare or that are kept across a restart.
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 
 
 class IClock(Interface):
-    """A steady time, the wall time, and waiting."""
+    """The steady clock, the wall clock and a delay."""
 
     def now():
-        """The steady time, as an aware datetime: it never runs backwards, nor follows a step of the wall clock."""
+        """Return the steady time as an aware datetime: never decreasing, unaffected by steps of the wall clock."""
 
     def wall():
-        """The wall time, as an aware datetime: it may be set, in both directions."""
+        """Return the wall time as an aware datetime; it may be stepped in either direction."""
 
     async def sleep(span):
-        """Return when `span` has passed."""
+        """Return after `span` has elapsed."""
 
 
 def ms(span: timedelta) -> int:
-    """Whole milliseconds of a span.
+    """Return a duration in whole milliseconds.
 
     >>> ms(timedelta(seconds=1.5))
     1500
@@ -37,7 +37,7 @@
 
 
 def from_ms(count: float) -> timedelta:
-    """A span of that many milliseconds.
+    """Return the duration of `count` milliseconds.
 
     >>> from_ms(250)
     datetime.timedelta(microseconds=250000)
@@ -46,8 +46,8 @@
 
 
 def steady_seconds() -> float:
-    """Seconds on the clock that nobody can set and that counts suspension; where there is none, on the
-    monotonic clock.
+    """Return seconds on the boot-time clock, which cannot be set and includes suspension; where the system has
+    none, on the monotonic clock.
 
     >>> a = steady_seconds(); steady_seconds() >= a
     True
@@ -57,28 +57,28 @@
 
 @implementer(IClock)
 class SystemClock:
-    """The machine's clocks. The steady time is the wall time at the start plus what the steady clock has
-    counted since, so its readings look like times, but a later step of the wall clock is not in them.
+    """The machine's clocks. The steady time is the wall time at the start plus the steady seconds since, so its
+    readings look like times but do not follow later steps of the wall clock.
 
     >>> steady, wall = [100.0], [5000.0]
     >>> c = SystemClock(lambda: steady[0], lambda: wall[0]); a = c.now()
     >>> wall[0] += 3; (c.now() - a).total_seconds(), (c.wall() - a).total_seconds()
     (0.0, 3.0)
-    >>> steady[0] += 10; (c.now() - a).total_seconds()          # suspended for 10 s, or just waiting
+    >>> steady[0] += 10; (c.now() - a).total_seconds()          # suspended or waiting for 10 s
     10.0
     """
 
     def __init__(self, steady: Callable[[], float] = steady_seconds, wall: Callable[[], float] = time.time):
         self.read_steady = steady
         self.read_wall = wall
-        self.anchor = wall() - steady()
+        self.wall_offset_s = wall() - steady()
 
     def now(self) -> datetime:
-        """The steady time: `clock.now()`."""
-        return datetime.fromtimestamp(self.read_steady() + self.anchor, UTC)
+        """Return the steady time: `clock.now()`."""
+        return datetime.fromtimestamp(self.read_steady() + self.wall_offset_s, UTC)
 
     def wall(self) -> datetime:
-        """The wall time: `clock.wall()`."""
+        """Return the wall time: `clock.wall()`."""
         return datetime.fromtimestamp(self.read_wall(), UTC)
 
     async def sleep(self, span: timedelta) -> None:
--- a/src/quillstall/runtime/daemon.py
+++ b/src/quillstall/runtime/daemon.py
@@ -1,4 +1,4 @@
-"""Daemon: makes the context of a real process and runs a program in it until a stop signal."""
+"""Creates the context of a real process and runs its program until a stop signal."""
 
 import asyncio
 import gc
@@ -17,31 +17,36 @@
 from quillstall.runtime.journal import Journal
 from quillstall.runtime.process import Context
 
-COLLECTION_THRESHOLDS = (20_000, 20, 50)  # new objects, then collections of each younger generation
+COLLECTION_THRESHOLDS = (
+    20_000,
+    20,
+    50,
+)  # new objects, then collections of each younger generation; see gc.set_threshold
 
 
 def context(startup: dict) -> Context:
-    """The context of a real process: `context(startup)`."""
+    """Return the context of a real process: `context(startup)`."""
     clock = SystemClock()
     journal = Journal(startup['name'], clock)
     source = split(startup['address'])[0] if 'address' in startup else None
-    disk = open_disk(startup['data']) if startup.get('data') else None
+    disk = create_disk(startup['data']) if startup.get('data') else None
     return Context(
-        startup, clock, TcpNet(journal.count, source), disk, http_client(startup), journal, random.Random()
+        startup, clock, TcpNet(journal.count, source), disk, create_web(startup), journal, random.Random()
     )
 
 
-def open_disk(folder: str) -> Any:
-    """The disk of a process that keeps state; its library is loaded only then: `open_disk('run/core0')`."""
+def create_disk(folder: str) -> Any:
+    """Return the disk of a process that keeps state: `create_disk('run/core0')`. Its library is imported here."""
     from quillstall.runtime.disk import SqliteDisk
 
     return SqliteDisk(folder)
 
 
-def http_client(startup: dict) -> Any:
-    """The JSON web, for those that have an interface in it; its client library is loaded only then.
+def create_web(startup: dict) -> Any:
+    """Return the HTTP client and server of a process, or None for one without an HTTP interface. Its library is
+    imported only here.
 
-    >>> http_client({'role': 'core'}) is None
+    >>> create_web({'role': 'core'}) is None
     True
     """
     if 'role' in startup and not startup.get('http'):
@@ -51,41 +56,42 @@
     return CurlWeb()
 
 
-async def until_stopped(
+async def run_until_stopped(
     ctx: Context, program: Callable[..., Coroutine], drain: Callable[[Any], Coroutine] | None = None
 ) -> None:
-    """Run a program; on a stop signal drain it, then end it: `await until_stopped(ctx, run)`."""
-    running = asyncio.get_running_loop()
+    """Run a program; on SIGTERM or SIGINT drain it, then cancel it: `await run_until_stopped(ctx, run)`."""
+    event_loop = asyncio.get_running_loop()
     stop = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        running.add_signal_handler(number, stop.set)
-    running.add_signal_handler(signal.SIGHUP, ctx.journal.note, 'told_of_settings')
-    ready = running.create_future()
-    work = asyncio.ensure_future(program(ctx, ready))
-    wait = asyncio.ensure_future(stop.wait())
-    await asyncio.wait((work, wait), return_when=asyncio.FIRST_COMPLETED)
-    if work.done():
-        wait.cancel()
-        work.result()
+        event_loop.add_signal_handler(number, stop.set)
+    event_loop.add_signal_handler(signal.SIGHUP, ctx.journal.note, 'told_of_settings')
+    ready = event_loop.create_future()
+    program_task = asyncio.ensure_future(program(ctx, ready))
+    stop_task = asyncio.ensure_future(stop.wait())
+    await asyncio.wait((program_task, stop_task), return_when=asyncio.FIRST_COMPLETED)
+    if program_task.done():
+        stop_task.cancel()
+        program_task.result()
         return
     ctx.journal.note('stopping')
     if drain and ready.done():
         await drain(ready.result())
-    work.cancel()
-    await asyncio.wait((work,))
+    program_task.cancel()
+    await asyncio.wait((program_task,))
     ctx.journal.note('stopped')
 
 
 def print_fault(fault: Fault, print_line: Callable[[str], None]) -> None:
-    """A fault for a person's eyes, with its findings: `print_fault(fault, print)`."""
+    """Print a fault and its findings for a person to read: `print_fault(fault, print)`."""
     print_line(f'{fault.code}: {fault.text or fault.title}')
     for place, text in fault.findings:
         print_line(f'  {place}: {text}')
 
 
-def reduce_collections() -> None:
-    """Look for garbage in cycles less often, and never among what was made until now: the modules. Nearly all
-    that a request makes is freed when its last user lets go; what is kept is large and has few cycles."""
+def reduce_garbage_collection() -> None:
+    """Make the cyclic garbage collector run less often, and never over the objects made so far: the modules.
+    Reference counting frees nearly all that a request allocates; the state that is kept is large and has few
+    cycles."""
     gc.freeze()
     gc.set_threshold(*COLLECTION_THRESHOLDS)
 
@@ -94,14 +100,14 @@
     startup: dict,
     program: Callable[..., Coroutine],
     drain: Callable[[Any], Coroutine] | None = None,
-    more: Callable[[Context], Context] | None = None,
+    extend_context: Callable[[Context], Context] | None = None,
 ) -> int:
-    """Run a real process to its end; the exit code: `serve(startup, run)`. `more` may put into its context
-    what else it is to talk to."""
-    reduce_collections()
+    """Run a real process to its end and return its exit code: `serve(startup, run)`. `extend_context` may add
+    further interfaces to its context."""
+    reduce_garbage_collection()
     with StreamHandler(sys.stderr, level='INFO').applicationbound():
         try:
-            loop.run(main(startup, program, drain, more))
+            loop.run(main(startup, program, drain, extend_context))
         except Fault as e:
             print_fault(e, lambda text: print(text, file=sys.stderr))
             return 1
@@ -111,6 +117,8 @@
     return 0
 
 
-async def main(startup: dict, program: Callable, drain: Callable | None, more: Callable | None) -> None:
+async def main(
+    startup: dict, program: Callable, drain: Callable | None, extend_context: Callable | None
+) -> None:
     ctx = context(startup)
-    await until_stopped(more(ctx) if more else ctx, program, drain)
+    await run_until_stopped(extend_context(ctx) if extend_context else ctx, program, drain)
--- a/src/quillstall/runtime/disk.py
+++ b/src/quillstall/runtime/disk.py
@@ -1,12 +1,13 @@
-"""The data folder of one process. What `write` has returned for is synced.
+"""The data folder of a process. A batch is synced to disk when `write` returns.
 
-Three things can go wrong with it, and each has its own answer:
+Three kinds of failure are told apart:
 
-- It takes nothing more (full, refuses writes, stalls). `write` and `open` wait and try again; they end once
-  there is room. Batches go to the disk in the order in which they came and none is ever skipped, so what
-  is on disk is always a prefix of what the process holds in memory.
-- Its file is torn or corrupt. `open` raises `CorruptFile`; `set_aside` makes room for an empty one.
-- It cannot be used at all (no folder, another process has it, another format): `Fault('disk')`.
+- The disk rejects writes (it is full, fails or stalls). `write` and `open` retry until they succeed. Batches
+  are written in the order of the calls and none is skipped, so the rows on disk are always a prefix of
+  those that the process has in memory.
+- The database is torn or corrupt. `open` raises `CorruptFile`; `set_aside` renames it, so that an empty one
+  can be created.
+- The folder cannot be used (it is missing, locked by another process, or of another format): `Fault('disk')`.
 """
 
 import asyncio
@@ -26,16 +27,16 @@
 
 FORMAT = 1
 DATABASE_FILE = 'quillstall.db'
-DATABASE_SUFFIXES = ('', '-wal')  # the files of one database; the main one first, see `set_aside`
+DATABASE_SUFFIXES = ('', '-wal')  # the database, then its write-ahead log: the order matters to `set_aside`
 CORRUPT_SUFFIX = '.corrupt'
-RETRY_INTERVAL_S = 0.2  # between two tries on a disk that takes nothing
+RETRY_INTERVAL_S = 0.2  # between two attempts on a disk that rejects writes
 UNAVAILABLE_ERRNOS = (errno.ENOSPC, errno.EDQUOT, errno.EIO)
 UNAVAILABLE_CODES = (sqlite3.SQLITE_FULL, sqlite3.SQLITE_IOERR, sqlite3.SQLITE_CANTOPEN)
 CORRUPT_CODES = (sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
 
 
 class Put(NamedTuple):
-    """One change of a row: a value of None takes the row out; a key of None empties the part.
+    """A change of one row: a value of None deletes the row, a key of None deletes all rows of the part.
 
     >>> Put('p01', 'turn/a', {'n': 1}).key
     'turn/a'
@@ -47,7 +48,7 @@
 
 
 class CorruptFile(Fault):
-    """The file in the data folder is torn or corrupt: nothing in it can be trusted.
+    """The database is torn or corrupt: none of its rows can be trusted.
 
     >>> CorruptFile('quillstall.db: malformed').code
     'disk'
@@ -58,28 +59,28 @@
 
 
 class DiskUnavailable(Exception):
-    """The disk takes nothing now: full, refusing, or failing. It may take it later."""
+    """The disk rejects writes (it is full or fails); a later attempt may succeed."""
 
 
 class IDisk(Interface):
-    """Rows by part and key."""
+    """A store of rows by part and key."""
 
     async def open():
-        """All rows, as {part: {key: value}}. Waits while the disk takes nothing. `CorruptFile` if its file
-        is torn, Fault 'disk' if the folder cannot be used."""
+        """Return all rows as {part: {key: value}}, retrying while the disk rejects writes. Raises `CorruptFile`
+        if the database is corrupt and Fault 'disk' if the folder cannot be used."""
 
     async def write(puts):
-        """Apply a batch whole; return once it is synced, however long that takes."""
+        """Apply a batch atomically; return once it is synced, however long that takes."""
 
     async def set_aside():
-        """After `CorruptFile`: keep that file under another name, so that `open` begins an empty one."""
+        """After `CorruptFile`: rename the corrupt database, so that `open` creates an empty one."""
 
     async def close():
-        """Let the folder go."""
+        """Release the folder."""
 
 
 def primary_code(error: sqlite3.Error) -> int:
-    """SQLite's result code without its details: an error of sync is an error of input and output.
+    """Return the primary result code of an error, without the extended bits: a failed fsync is an I/O error.
 
     >>> primary_code(sqlite3.Error())
     0
@@ -88,45 +89,45 @@
 
 
 def sync_folder(path: str) -> None:
-    """Make the names in a folder durable: `sync_folder('/var/lib/quillstall')`."""
+    """Sync the directory entries of a folder: `sync_folder('/var/lib/quillstall')`."""
     try:
-        handle = os.open(path, os.O_RDONLY)
-    except PermissionError:  # the folder above is not ours: it was there before us
+        descriptor = os.open(path, os.O_RDONLY)
+    except PermissionError:  # the parent folder belongs to another user and existed before this process
         return
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
 @implementer(IDisk)
 class SqliteDisk:
-    """A data folder with one sqlite3 file, written by one thread that joins waiting batches
-    into one synced transaction."""
+    """A data folder with one SQLite database. One thread writes it and combines all queued batches into one
+    synced transaction (group commit)."""
 
     def __init__(self, folder: str):
         self.folder = folder
         self.path = os.path.join(folder, DATABASE_FILE)
-        self.queue: Queue = Queue()
-        self.pool = ThreadPoolExecutor(1)
-        self.task: asyncio.Task | None = None
+        self.queue: Queue = Queue()  # (batch, future that completes once it is synced)
+        self.executor = ThreadPoolExecutor(1)
+        self.writer_task: asyncio.Task | None = None
         self.connection: sqlite3.Connection | None = None
-        self.lock: Any = None
+        self.lock_file: Any = None
         self.syncs = 0
-        self.retries = 0  # how often it took nothing
-        self.sync_ms = 0.0  # how long a sync takes, blended
+        self.retries = 0  # attempts that failed because the disk rejected writes
+        self.sync_ms = 0.0  # duration of a commit, as an exponential moving average
 
     async def open(self) -> dict[str, dict[str, Any]]:
-        """Take the folder and read it: `rows = await disk.open()`."""
+        """Lock the folder and return its rows: `rows = await disk.open()`."""
         loop = asyncio.get_running_loop()
         while True:
             try:
-                rows = await loop.run_in_executor(self.pool, self._open)
+                rows = await loop.run_in_executor(self.executor, self._open)
                 break
             except DiskUnavailable:
                 self.retries += 1
                 await asyncio.sleep(RETRY_INTERVAL_S)
-        self.task = asyncio.ensure_future(self._run())
+        self.writer_task = asyncio.ensure_future(self._run())
         return rows
 
     def _open(self) -> dict[str, dict[str, Any]]:
@@ -154,33 +155,33 @@
         return rows
 
     def _take_lock(self) -> None:
-        """Keep other processes off the folder."""
-        if self.lock:
+        """Lock the folder against other processes; raise Fault 'disk' if one has it."""
+        if self.lock_file:
             return
         if not os.path.isdir(self.folder):
             raise Fault('disk', f'{self.folder}: no such folder; make it first')
         try:
-            lock = open(os.path.join(self.folder, 'lock'), 'w')
-            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            lock_file = open(os.path.join(self.folder, 'lock'), 'w')
+            fcntl.flock(lock_file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as e:
             raise Fault('disk', f'{self.folder}: another process uses it') from e
         except OSError as e:
             if e.errno in UNAVAILABLE_ERRNOS:
                 raise DiskUnavailable(str(e)) from e
             raise Fault('disk', f'{self.folder}: cannot be written: {e}') from e
-        self.lock = lock
+        self.lock_file = lock_file
 
     def _read(self) -> dict[str, dict[str, Any]]:
-        """Open the database, make sure of it, and give all its rows."""
+        """Open the database, check its integrity and format, and return all its rows."""
         connection = self.connection = sqlite3.connect(
             self.path, check_same_thread=False, isolation_level=None
         )
-        connection.execute('pragma locking_mode=exclusive')  # one process: no file of shared memory
+        connection.execute('pragma locking_mode=exclusive')  # a single process needs no shared-memory file
         connection.execute('pragma journal_mode=wal')
         connection.execute('pragma synchronous=full')
-        seen = connection.execute('pragma quick_check').fetchone()[0]
-        if seen != 'ok':
-            raise CorruptFile(f'{self.path}: {seen}')
+        check_result = connection.execute('pragma quick_check').fetchone()[0]
+        if check_result != 'ok':
+            raise CorruptFile(f'{self.path}: {check_result}')
         format_number = connection.execute('pragma user_version').fetchone()[0]
         if format_number not in (0, FORMAT):
             raise Fault('disk', f'{self.path}: format {format_number}, this program reads {FORMAT}')
@@ -190,8 +191,9 @@
         )
         if format_number != FORMAT:
             connection.execute(f'pragma user_version={FORMAT}')
-        # A process that was killed after a failed sync may have left frames in the log that can be read and
-        # are on no disk. Copied into the database and synced there, what is read below is durable.
+        # A process that was killed after a failed sync may leave frames in the write-ahead log that are
+        # readable from the page cache but not on disk. The checkpoint copies them into the database and syncs
+        # it, so the rows read below are durable.
         connection.execute('pragma wal_checkpoint(truncate)')
         rows: dict[str, dict[str, Any]] = {}
         for part, key, value in connection.execute('select part, key, value from rows'):
@@ -204,12 +206,12 @@
         self.connection = None
 
     async def set_aside(self) -> None:
-        """Rename a corrupt file, durably: `await disk.set_aside()`. One that was set aside before is lost.
+        """Rename a corrupt database durably: `await disk.set_aside()`. Replaces one that was set aside before.
 
-        The database goes first, and the folder is synced before its log follows: a database that came back
-        without its log would look whole and hold less than was confirmed. A log without its database is
-        thrown away by SQLite."""
-        await asyncio.get_running_loop().run_in_executor(self.pool, self._set_aside)
+        The database is renamed first and the folder synced before its log follows: a database left without
+        its log after a crash would seem intact yet lack confirmed rows. SQLite discards a log without a
+        database."""
+        await asyncio.get_running_loop().run_in_executor(self.executor, self._set_aside)
 
     def _set_aside(self) -> None:
         self._close_database()
@@ -219,18 +221,18 @@
             sync_folder(self.folder)
 
     def was_set_aside(self) -> bool:
-        """Whether a file of this folder was ever found corrupt: `disk.was_set_aside()`."""
+        """Return whether a database of this folder was ever found corrupt: `disk.was_set_aside()`."""
         return os.path.exists(self.path + CORRUPT_SUFFIX)
 
     def _commit(self, batches: list) -> None:
-        start = time.monotonic()
+        started_at = time.monotonic()
         self.connection.execute('begin immediate')
         for puts in batches:
             for put in puts:
                 self._apply(put)
         self.connection.execute('commit')
         self.syncs += 1
-        self.sync_ms = round(self.sync_ms * 0.9 + (time.monotonic() - start) * 100, 2)
+        self.sync_ms = round(self.sync_ms * 0.9 + (time.monotonic() - started_at) * 100, 2)
 
     def _apply(self, put: Put) -> None:
         if put.key is None:
@@ -243,11 +245,11 @@
             )
 
     def _try_commit(self, batches: list) -> None:
-        """Write the batches, or raise `DiskUnavailable` with nothing of them written.
+        """Commit the batches in one transaction, or raise `DiskUnavailable` with none of them written.
 
-        The connection is kept. After a failed sync SQLite does not count the frames of the transaction as
-        written, and the next try writes them again, so no sync is trusted that another one failed before.
-        A new connection would find those frames in the page cache and take them for committed."""
+        A retry uses the same connection. After a failed sync SQLite does not count the frames of the
+        transaction as written and writes them again, so a sync that succeeds after a failed one covers all of
+        them. A new connection would find the frames in the page cache and take them for committed."""
         try:
             self._commit(batches)
         except sqlite3.Error as e:
@@ -255,31 +257,31 @@
                 try:
                     self.connection.execute('rollback')
                 except sqlite3.Error:
-                    pass  # SQLite has rolled it back by itself
+                    pass  # SQLite has already rolled it back
             if primary_code(e) in CORRUPT_CODES:
                 raise CorruptFile(f'{self.path}: {e}') from e
             raise DiskUnavailable(str(e)) from e
 
     async def _run(self) -> None:
         while True:
-            batch = [await self.queue.get()]
+            requests = [await self.queue.get()]
             while not self.queue.empty():
-                batch.append(self.queue.get_nowait())
-            fault = await self._write_until_synced([puts for puts, _ in batch])
-            for _, wait in batch:
-                if wait.done():
+                requests.append(self.queue.get_nowait())
+            fault = await self._write_until_synced([puts for puts, _ in requests])
+            for _, future in requests:
+                if future.done():
                     continue
                 if fault:
-                    wait.set_exception(fault)
+                    future.set_exception(fault)
                 else:
-                    wait.set_result(None)
+                    future.set_result(None)
 
     async def _write_until_synced(self, batches: list) -> Fault | None:
-        """Write these batches before any that came later; the fault if the file is corrupt."""
+        """Retry until these batches are synced, before any later ones; return the fault of a corrupt database."""
         loop = asyncio.get_running_loop()
         while True:
             try:
-                await loop.run_in_executor(self.pool, self._try_commit, batches)
+                await loop.run_in_executor(self.executor, self._try_commit, batches)
                 return None
             except CorruptFile as e:
                 return e
@@ -288,16 +290,16 @@
                 await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def write(self, puts: tuple) -> None:
-        """Write and sync: `await disk.write((Put('p', 'k', 1),))`."""
-        wait = asyncio.get_running_loop().create_future()
-        self.queue.put_nowait((puts, wait))
-        await wait
+        """Apply a batch and return once it is synced: `await disk.write((Put('p', 'k', 1),))`."""
+        future = asyncio.get_running_loop().create_future()
+        self.queue.put_nowait((puts, future))
+        await future
 
     async def close(self) -> None:
-        """Stop the thread and close the file: `await disk.close()`."""
-        if self.task:
-            self.task.cancel()
-        self.pool.shutdown(wait=True)
+        """Stop the writer, close the database and release the folder: `await disk.close()`."""
+        if self.writer_task:
+            self.writer_task.cancel()
+        self.executor.shutdown(wait=True)
         self._close_database()
-        if self.lock:
-            self.lock.close()
+        if self.lock_file:
+            self.lock_file.close()
--- a/src/quillstall/runtime/effect.py
+++ b/src/quillstall/runtime/effect.py
@@ -1,11 +1,15 @@
-"""Effects and the events that answer them: what a reducer asks its process to do, as data."""
+"""Effects and events of a reducer, as data.
+
+A reducer is a pure function of its state and one event; it returns the next state and the effects that its
+process is to carry out. Some effects are answered by a later event with the same tag.
+"""
 
 from datetime import timedelta
 from typing import Any, NamedTuple
 
 
 class Ask(NamedTuple):
-    """Send `message` to the member `to`; its return comes as Heard(tag, return).
+    """Effect: send `message` to the member `to`; the reply, or its absence, comes as Heard(tag, reply).
 
     >>> Ask('m1', {'k': 'hi'}, ('t',)).to
     'm1'
@@ -18,7 +22,7 @@
 
 
 class Write(NamedTuple):
-    """Write rows whole; Wrote(tag) comes once they are synced.
+    """Effect: write a batch of rows atomically; Wrote(tag) comes once the batch is synced.
 
     >>> Write((), ('t',)).puts
     ()
@@ -29,7 +33,7 @@
 
 
 class Done(NamedTuple):
-    """A command of the tag's owner has been confirmed on two disks, or has failed with a fault.
+    """Effect: the command with this tag is committed (synced on two disks) or has failed with a fault.
 
     >>> Done(('call', 1), {'ok': True}).reply
     {'ok': True}
@@ -40,7 +44,7 @@
 
 
 class Return(NamedTuple):
-    """The return of a message that was told to us.
+    """Effect: reply to the message that came as Told with the same call.
 
     >>> Return(4, {'ok': True}).call
     4
@@ -51,7 +55,7 @@
 
 
 class Propose(NamedTuple):
-    """Ask the authority of a part to grant a seat.
+    """Effect: ask the authority that grants replica sets to grant this one to a partition.
 
     >>> Propose('p00', (2, 1, 'a', 'c')).replica_set[0]
     2
@@ -62,7 +66,7 @@
 
 
 class Note(NamedTuple):
-    """One line for the journal.
+    """Effect: log one line in the journal.
 
     >>> Note('epoch', {'part': 'core'}).kind
     'epoch'
@@ -73,7 +77,7 @@
 
 
 class Count(NamedTuple):
-    """Add to a counter.
+    """Effect: add to a counter.
 
     >>> Count('frames').amount
     1
@@ -84,7 +88,7 @@
 
 
 class Violated(NamedTuple):
-    """A promise that the code checks does not hold; the process counts it and lives on.
+    """Effect: report that an invariant does not hold; the process counts it and continues.
 
     >>> Violated('epoch_forward', {'part': 'core'}).name
     'epoch_forward'
@@ -95,7 +99,7 @@
 
 
 class Heard(NamedTuple):
-    """The return of an Ask; None if none came.
+    """Event: the reply to an Ask; None if none came.
 
     >>> Heard(('t',), None).reply is None
     True
@@ -106,7 +110,7 @@
 
 
 class Wrote(NamedTuple):
-    """A Write has been synced.
+    """Event: a Write has been synced.
 
     >>> Wrote(('t',)).tag
     ('t',)
@@ -116,7 +120,7 @@
 
 
 class Told(NamedTuple):
-    """A message came; the reducer owes a Return with the same call.
+    """Event: a message arrived; the reducer must answer it with a Return of the same call.
 
     >>> Told(1, {'k': 'frame'}).message['k']
     'frame'
@@ -127,9 +131,9 @@
 
 
 class Tick(NamedTuple):
-    """The clock event of the process, ten times a second; `wall_ahead` is how far the wall clock is ahead of
-    the steady one. When the disk begins to take nothing there is one that says so, and none after it until
-    the disk takes writes again.
+    """Event: the periodic clock tick, ten times a second. `wall_ahead` is the wall clock's lead over the steady
+    clock. One tick with `blocked` is sent when writes to the disk become blocked, and none after it until
+    the disk accepts writes again.
 
     >>> Tick().wall_ahead, Tick().blocked
     (datetime.timedelta(0), False)
--- a/src/quillstall/runtime/errors.py
+++ b/src/quillstall/runtime/errors.py
@@ -1,8 +1,8 @@
-"""Fault: the one exception that crosses our borders, always with a stable code."""
+"""Fault, the one exception that is sent between processes and to clients, with a stable code."""
 
 from typing import Any
 
-# code: (HTTP status, title, what is known of the run: 'no', 'yes', 'unknown')
+# code: (HTTP status, title, whether the request may have been executed: 'no', 'yes', 'unknown')
 CODES: dict[str, tuple[int, str, str]] = {
     'bad_json': (400, 'The body is not JSON', 'no'),
     'bad_header': (400, 'A header cannot be read', 'no'),
@@ -46,7 +46,7 @@
 
 
 class Fault(Exception):
-    """An error with a code, a text, and the findings with their places.
+    """An error with a code, a text and findings: pairs of a path in the request and what is wrong there.
 
     >>> f = Fault('shed', 'queue is full', wait_ms=1500)
     >>> f.code, f.status, f.ran
@@ -74,7 +74,7 @@
         self.more = more or {}
 
     def pack(self) -> dict[str, Any]:
-        """The fault as a message between our processes.
+        """Return the fault as a message between processes.
 
         >>> Fault('lost', 'cut').pack()['fault']
         'lost'
@@ -90,7 +90,7 @@
 
     @staticmethod
     def unpack(message: dict) -> 'Fault':
-        """The fault a message stands for; an unknown code becomes 'internal'.
+        """Return the fault of a packed message; an unknown code becomes 'internal'.
 
         >>> Fault.unpack({'fault': 'moved'}).code
         'moved'
@@ -108,7 +108,7 @@
         )
 
     def problem(self, path: str = '') -> dict[str, Any]:
-        """The body of an application/problem+json answer.
+        """Return the body of an application/problem+json response.
 
         >>> p = Fault('invalid', 'see findings', (('max_tokens', 'is negative'),)).problem('/v1/turns')
         >>> p['code'], p['ran'], p['findings']
--- a/src/quillstall/runtime/journal.py
+++ b/src/quillstall/runtime/journal.py
@@ -1,4 +1,4 @@
-"""Journal: counters first, and a bounded list of changes of state with their cause."""
+"""Counters, and a bounded event log of state changes with their cause."""
 
 from collections import Counter, deque
 from typing import Any
@@ -6,11 +6,11 @@
 from logbook import Logger
 
 VIOLATED = 'invariant_violated'
-MAX_NOTED_VIOLATIONS = 20  # of each invariant; later ones are only counted
+MAX_NOTED_VIOLATIONS = 20  # logged violations of each invariant; later ones are only counted
 
 
 class Journal:
-    """What one process counts and notes.
+    """The counters and the latest log lines of one process.
 
     >>> from quillstall.runtime.clock import SystemClock
     >>> j = Journal('a', SystemClock(), max_lines=2)
@@ -29,7 +29,7 @@
         self.log = Logger(name)
 
     def violated(self, name: str, **facts: Any) -> None:
-        """Count that an invariant does not hold, and note the first times with what is known of it.
+        """Count that an invariant does not hold, and log the first violations of each with their facts.
 
         >>> from quillstall.runtime.clock import SystemClock
         >>> j = Journal('a', SystemClock()); j.violated('sent_once', request='x1')
@@ -46,10 +46,10 @@
         self.counts[name] += amount
 
     def note(self, kind: str, **facts: Any) -> None:
-        """Keep and log one change of state: `journal.note('suspect', who='s1', cause='silent')`."""
+        """Keep and log one state change: `journal.note('suspect', who='s1', cause='silent')`."""
         line = {'at': self.clock.wall().isoformat(), 'by': self.name, 'kind': kind, **facts}
         self.lines.append(line)
         try:
             self.log.info('{} {}', kind, ' '.join(f'{k}={v}' for k, v in facts.items()))
-        except OSError:  # the log may lie on the disk that is full; the line is kept above
+        except OSError:  # the log may be on a full disk; the line is kept in memory
             self.count('journal.unlogged')
--- a/src/quillstall/runtime/loop.py
+++ b/src/quillstall/runtime/loop.py
@@ -1,20 +1,20 @@
-"""The event loop of a real process: asyncio's, which asks the system for new events less often while it is busy."""
+"""The event loop of a real process: asyncio's, with fewer polls for I/O while callbacks are ready."""
 
 import asyncio
 import selectors
 from collections.abc import Coroutine
 from typing import Any
 
-MAX_SKIPPED_POLLS = 4  # turns of the loop in a row without a question to the system
+MAX_SKIPPED_POLLS = 4  # iterations of the loop in a row without a poll of the system
 
 
 class BusySelector(selectors.EpollSelector):
-    """A selector that answers most questions without waiting by itself.
+    """A selector that skips most polls with a timeout of zero.
 
-    asyncio asks its selector in each turn of the loop, also while callbacks are ready; one message takes five
-    or so turns, as each task that waits for another wakes a turn later. A question that would not wait is
-    answered with "nothing new" here, `MAX_SKIPPED_POLLS` times in a row at most. What has come in is seen some
-    callbacks later; a question that waits always goes to the system.
+    asyncio calls its selector in each iteration of the loop, also while callbacks are ready; one message takes
+    about five iterations, as each task that awaits another wakes an iteration later. A poll that would not
+    wait returns no events here, `MAX_SKIPPED_POLLS` times in a row at most, so I/O is seen some callbacks
+    later. A poll that waits always calls the system.
 
     >>> a = BusySelector(); a.skipped_polls = MAX_SKIPPED_POLLS - 1; a.select(0), a.skipped_polls
     ([], 4)
@@ -28,7 +28,7 @@
         self.skipped_polls = 0
 
     def select(self, timeout: float | None = None) -> list:
-        """The descriptors that are ready: see the class."""
+        """Return the file objects that are ready; may skip a poll that would not wait, see the class."""
         if timeout is not None and timeout <= 0 and self.skipped_polls < MAX_SKIPPED_POLLS:
             self.skipped_polls += 1
             return []
@@ -37,12 +37,12 @@
 
 
 def new_loop() -> asyncio.AbstractEventLoop:
-    """A loop for a real process: `loop = new_loop()`."""
+    """Return an event loop for a real process: `loop = new_loop()`."""
     return asyncio.SelectorEventLoop(BusySelector())
 
 
 def run(program: Coroutine[Any, Any, Any]) -> Any:
-    """Run a program in a loop of its own to its end.
+    """Run a program in a new event loop and return its result.
 
     >>> async def two(): return 2
     >>> run(two())
--- a/src/quillstall/runtime/metrics.py
+++ b/src/quillstall/runtime/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: counters and gauges of one process as text, in the exposition format that monitoring systems read."""
+"""The counters and gauges of a process in the text exposition format of Prometheus."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,7 @@
 
 
 def exposition(counts: Mapping[str, float], gauges: Mapping[str, float]) -> bytes:
-    """All counters under one name and all gauges under another, each with what it counts as a label.
+    """Return all counters as one metric and all gauges as another, each with its own name as a label.
 
     >>> print(exposition({'told.shed': 3}, {'pending': 1.5}).decode(), end='')
     # TYPE quillstall_events_total counter
@@ -30,7 +30,7 @@
 
 
 def escape_label_value(text: str) -> str:
-    """A text as the value of a label.
+    """Escape a text for use as the value of a label.
 
     >>> escape_label_value('a"b')
     'a\\\\"b'
--- a/src/quillstall/runtime/process.py
+++ b/src/quillstall/runtime/process.py
@@ -1,9 +1,9 @@
-"""Process: runs a reducer. One loop takes events from one queue, steps, and performs the effects.
+"""Runs a reducer: one loop takes events from a queue, applies the reducer and carries out its effects.
 
-A process whose disk takes nothing (full, refusing, stalled) is *blocked*: it keeps running, answers every
-message with the fault that it cannot confirm, and sends nothing but a store's last word that it is blocked;
-its reducer gets no clock events. A store still answers pings: it is not lost. Its place is given to
-somebody else, and for its reducer the moment when the disk takes writes again is like waking up.
+A process whose disk rejects writes (full, failing or stalled) is *blocked*. It keeps running, but it answers
+messages with a fault, as it can confirm nothing, sends nothing except a store's poll that reports the blocked
+disk, and gives its reducer no ticks. A store still answers pings, as it is not lost. Other members replace it
+in its replica sets; to its reducer, the time until the disk accepts writes again is like a suspension.
 """
 
 import asyncio
@@ -19,26 +19,22 @@
 from quillstall.runtime.errors import Fault
 
 TICK_INTERVAL = timedelta(milliseconds=100)
-DEFAULT_SILENT_MS = (
-    2000  # where the startup does not say so: so long silent, a member is given up by the others
-)
-BLOCKED_FRACTION = 0.6  # of that time a write waits for its sync before the process counts as blocked
-SLOW_SYNC_S = 0.3  # a write that waits for its sync for longer is told of
+DEFAULT_SILENT_MS = 2000  # of the startup: other members consider a member lost after it
+BLOCKED_FRACTION = 0.6  # share of silent_ms that a write may wait for its sync before the process is blocked
+SLOW_SYNC_S = 0.3  # threshold for logging a slow sync
 SLOW_SYNC_NOTE_INTERVAL_S = 1.0
-LATE_TICK_S = 0.3  # a clock event that comes so much later than it should is told of: the loop stood still
-SLOW_STEP_S = 0.15  # a step of the reducer that takes longer is told of
-MESSAGES_ANSWERED_WHEN_BLOCKED = {  # they confirm nothing
-    'core': ('status',),  # for people who look
-    'store': (
-        'status',
-        'who',
-    ),  # other stores' pings: it is not lost, so no partition may go on with one copy
+LATE_TICK_S = 0.3  # delay of a tick that is logged: the event loop was stalled
+SLOW_STEP_S = 0.15  # threshold for logging a slow step of the reducer
+MESSAGES_ANSWERED_WHEN_BLOCKED = {  # replies that confirm no write
+    'core': ('status',),  # for operators
+    # 'who' is the ping of other stores: a blocked store is not lost, so no partition may go on with one copy.
+    'store': ('status', 'who'),
 }
-MESSAGES_SENT_WHEN_BLOCKED = ('poll',)  # a store's last word to the core
+MESSAGES_SENT_WHEN_BLOCKED = ('poll',)  # a store's poll tells the core that its disk is blocked
 
 
 class Context(NamedTuple):
-    """The one context object of a process: everything it may touch.
+    """All that a process has access to: its settings, clock, network, disk, HTTP, journal and randomness.
 
     >>> Context({'name': 'a'}, None, None, None, None, None, None).startup['name']
     'a'
@@ -50,15 +46,15 @@
     disk: Any
     web: Any
     journal: Any
-    rng: Any
-    lister: Any = None  # whom to ask for the replicas of listed pools
-    dialect: Any = None  # the names of a gateway's headers
-    admin_api: Any = None  # another interface for operators, beside our own
+    rng: Any  # random number generator
+    lister: Any = None  # returns the replicas of pools that an external service lists
+    dialect: Any = None  # the header names and status codes of a gateway
+    admin_api: Any = None  # a class that serves a further admin API
 
 
 def blocked_after_s(startup: dict) -> float:
-    """How long a write waits for its sync before a process counts as blocked. A replica that does not confirm
-    for so long is taken off its partition, too.
+    """Return how long a write may wait for its sync before the process is blocked. A backup that confirms
+    nothing for that long is removed from its partition, too.
 
     >>> blocked_after_s({'silent_ms': 1000})
     0.6
@@ -67,7 +63,7 @@
 
 
 class ReducerRunner:
-    """A running reducer: its queue, its state, its calls in flight."""
+    """A running reducer: its state, its event queue and the calls that wait for its replies."""
 
     def __init__(self, ctx: Context, state: Any, step: Callable, address_of: Callable):
         self.ctx = ctx
@@ -79,22 +75,22 @@
         self.last_call = 0
         self.tasks: set = set()
         self.failure: asyncio.Future | None = None
-        self.unsynced: deque[float] = deque()  # when each write that is not synced was begun, in order
+        self.unsynced: deque[float] = deque()  # start times of the writes that are not synced yet, in order
         self.reported_blocked = False
         self.slow_sync_noted_at = -SLOW_SYNC_NOTE_INTERVAL_S
         self.blocked_after_s = blocked_after_s(ctx.startup)
 
-    def spawn(self, work: Any) -> None:
-        """Run work beside the loop, kept from being collected: `host.spawn(work())`."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Run a coroutine as a task and keep a reference to the task: `runner.spawn(work())`."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def handle(self, message: dict) -> dict:
-        """The reducer's return to a message: `await host.handle({'k': 'who'})`.
+        """Return the reducer's reply to a message: `await runner.handle({'k': 'who'})`.
 
-        A message names whom it is meant for: at the address of a machine that lost its disk lives
-        another member now, which must not speak for the old one."""
+        A message for another member is refused: a machine that lost its disk returns to its address as a new
+        member, which must not answer for the old one."""
         if message.get('to') not in (None, self.state.me):
             return Fault('refused', f'{message["to"]} does not live here now').pack()
         if (
@@ -113,14 +109,13 @@
             self.calls.pop(call, None)
 
     def blocked(self) -> bool:
-        """Whether the disk has taken nothing for long: `host.blocked()`. Counted by a clock that no one can
-        set."""
+        """Return whether the oldest write has waited too long for its sync, by the monotonic clock."""
         if not self.unsynced:
             return False
         return asyncio.get_running_loop().time() - self.unsynced[0] > self.blocked_after_s
 
     def note_blocked(self) -> None:
-        """Tell the reducer when the process becomes blocked, and the journal of that and of its end."""
+        """Log when the process becomes blocked or unblocked; give the reducer a blocked tick when it blocks."""
         blocked = self.blocked()
         if blocked != self.reported_blocked:
             self.reported_blocked = blocked
@@ -129,7 +124,8 @@
             self.ctx.journal.note('disk_blocked' if blocked else 'disk_serves', unsynced=len(self.unsynced))
 
     async def run(self) -> None:
-        """Step through events until the disk's file is found corrupt; then stop at once: `await host.run()`."""
+        """Process events until the database is corrupt or the reducer fails on an event other than a message;
+        then cancel all tasks and raise the error: `await runner.run()`."""
         self.failure = asyncio.get_running_loop().create_future()
         self.spawn(self.send_ticks())
         self.spawn(self.loop())
@@ -157,16 +153,16 @@
                 self.perform(effect)
 
     def note_slow_step(self, event: Any, started_at: float) -> None:
-        """Note a step that took long, with what it was about."""
+        """Log a step that took long, with its event and the kind or tag of it."""
         duration = asyncio.get_running_loop().time() - started_at
         if duration > SLOW_STEP_S:
-            about = event.message.get('k') if type(event) is Told else getattr(event, 'tag', None)
+            subject = event.message.get('k') if type(event) is Told else getattr(event, 'tag', None)
             self.ctx.journal.note(
-                'step_slow', ms=round(duration * 1000), event=type(event).__name__, of=about
+                'step_slow', ms=round(duration * 1000), event=type(event).__name__, of=subject
             )
 
     def perform(self, effect: Any) -> None:
-        """Carry out one effect; what takes time goes on in a task of its own."""
+        """Carry out one effect; calls and writes run in a task of their own."""
         kind = type(effect)
         if kind is Return:
             self.send_reply(effect.call, effect.reply)
@@ -182,7 +178,7 @@
             self.ctx.journal.violated(effect.name, **effect.facts)
 
     def note_slow_sync(self, started_at: float) -> None:
-        """Count a write whose sync took long, and note it unless one was noted in the last second."""
+        """Count a write whose sync took long, and log it unless one was logged in the last second."""
         now = asyncio.get_running_loop().time()
         if now - started_at <= SLOW_SYNC_S:
             return
@@ -201,19 +197,19 @@
             self.note_blocked()
             if not self.blocked():
                 self.queue.put_nowait(Tick(self.wall_ahead()))
-            due = asyncio.get_running_loop().time() + TICK_INTERVAL.total_seconds()
+            due_at = asyncio.get_running_loop().time() + TICK_INTERVAL.total_seconds()
             await self.ctx.clock.sleep(TICK_INTERVAL)
-            self.note_late_tick(due)
+            self.note_late_tick(due_at)
 
-    def note_late_tick(self, due: float) -> None:
-        """Note that the loop stood still: the processor was busy with something else, or taken away."""
-        late = asyncio.get_running_loop().time() - due
-        if late > LATE_TICK_S:
+    def note_late_tick(self, due_at: float) -> None:
+        """Log a late tick: the event loop was stalled by long work or the process was not scheduled."""
+        delay = asyncio.get_running_loop().time() - due_at
+        if delay > LATE_TICK_S:
             self.ctx.journal.count('tick.late')
-            self.ctx.journal.note('tick_late', ms=round(late * 1000), events=self.queue.qsize())
+            self.ctx.journal.note('tick_late', ms=round(delay * 1000), events=self.queue.qsize())
 
     def wall_ahead(self) -> timedelta:
-        """How far the wall clock is ahead of the steady one."""
+        """Return how far the wall clock is ahead of the steady clock."""
         return self.ctx.clock.wall() - self.ctx.clock.now()
 
     async def ask(self, effect: Ask) -> None:
