--- a/features/contracts.feature
+++ b/features/contracts.feature
@@ -1,14 +1,14 @@
 Feature: Contracts that every transport, disk and clock must pass
 
-  Scenario Outline: the net over <kind>
+  Scenario Outline: the transport over <kind>
     Given a pair of processes over "<kind>"
-    Then a return comes back to the one that asked
-    And many asks at once each get their own return
-    And a fault crosses with its code, text and findings
-    And nobody listening is told as "unreachable"
-    And no return in time is told as "slow"
-    And a peer that ends in the middle is told as "lost"
-    And a message the handler cannot read is told as "garbled"
+    Then a reply reaches the caller
+    And each of many concurrent calls gets its own reply
+    And a fault reaches the caller with its code, text and findings
+    And a call to an address without a listener fails with "unreachable"
+    And a call without a reply in time fails with "slow"
+    And a call whose peer is killed before the reply fails with "lost"
+    And a message that the handler cannot read fails with "garbled"
 
     Examples:
       | kind |
@@ -17,41 +17,41 @@
 
   Scenario Outline: the disk of <kind>
     Given a disk of "<kind>"
-    Then what was written is there after a kill
-    And what was not yet synced may be lost but is never half there
-    And a part can be emptied and a row taken out
+    Then synced writes survive a kill
+    And a write that is not synced yet survives a kill whole or not at all
+    And a part can be emptied and a row deleted
 
     Examples:
       | kind   |
       | sqlite |
       | sim    |
 
-  Scenario Outline: the web over <kind>
+  Scenario Outline: HTTP over <kind>
     Given a web server over "<kind>"
-    Then lines arrive in order and the end is told
-    And an answer that breaks off is told as "lost"
-    And nobody serving is told as "unreachable"
-    And a caller that cuts is seen by the server at once
+    Then lines arrive in order, then the end of the response
+    And a response that breaks off ends with "lost"
+    And a request to an address without a server ends with "unreachable"
+    And the server sees at once that a client disconnected
 
     Examples:
       | kind |
       | curl |
       | sim  |
 
-  Scenario: strangers on the wire change nothing
+  Scenario: invalid bytes on a connection change nothing
     Given a pair of processes over "tcp"
-    When a stranger sends bytes that are no greeting
-    And a peer sends a frame that is no message
-    Then both links are closed and counted
-    And a return comes back to the one that asked
+    When a client sends bytes that do not begin with the protocol's magic number
+    And a peer sends a frame that holds no message
+    Then the connections are closed and counted
+    And a reply reaches the caller
 
   Scenario: a data folder that cannot be trusted is refused
     Given a disk of "sqlite"
-    Then a second process on the folder is refused with "disk"
-    And a torn file is refused with "disk"
+    Then a second process that opens the folder is refused with "disk"
+    And a corrupt database is refused with "disk"
     And a missing folder is refused with "disk"
 
-  Scenario: a link on which nothing comes back is given up, and the next ask makes another
-    Given a process whose first link is dead without either end knowing it
-    When it is asked again and again, 0.2 seconds each
-    Then the first ask is slow, a later one is returned, and the process was reached over a second link
+  Scenario: a connection without replies is closed, and the next call opens another
+    Given a process whose first connection is dead without either end knowing it
+    When it is called repeatedly with a timeout of 0.2 seconds
+    Then the first call times out, a later one gets a reply, and the process was reached over a second connection
--- a/features/examples.feature
+++ b/features/examples.feature
@@ -1,8 +1,8 @@
-Feature: The examples in the code hold
+Feature: The examples in docstrings hold
 
   Scenario Outline: every example of the package <name>
     When the examples of "<name>" are run
-    Then there are some and none fails
+    Then there are examples and none fails
 
     Examples:
       | name                |
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -4,7 +4,7 @@
 
   Scenario: the doctests of the adapter pass
     When the doctests of the platform's folder are run
-    Then there are some and none fails
+    Then there are examples and none fails
 
   Scenario: no name of the platform appears under src
     Then no header, setting or field of the platform appears under src
--- a/features/steps/common.py
+++ b/features/steps/common.py
@@ -1,4 +1,4 @@
-"""Steps shared by the features: examples, contracts."""
+"""Steps for doctests and for the contracts of transports, HTTP and disks, with helpers for other steps."""
 
 import asyncio
 import doctest
@@ -25,64 +25,67 @@
 
 @when('the examples of "{name}" are run')
 def run_examples(context, name):
-    context.example_count = context.example_bad = 0
+    context.example_count = context.failed_examples = 0
     package = importlib.import_module(name)
     for info in pkgutil.iter_modules(package.__path__):
         if info.name == '__main__':
             continue
-        found = doctest.testmod(importlib.import_module(f'{name}.{info.name}'))
-        context.example_count += found.attempted
-        context.example_bad += found.failed
+        result = doctest.testmod(importlib.import_module(f'{name}.{info.name}'))
+        context.example_count += result.attempted
+        context.failed_examples += result.failed
 
 
-@then('there are some and none fails')
+@then('there are examples and none fails')
 def none_fails(context):
     assert context.example_count > 5, context.example_count
-    assert context.example_bad == 0, f'{context.example_bad} of {context.example_count}'
+    assert context.failed_examples == 0, f'{context.failed_examples} of {context.example_count}'
 
 
-# ---- two worlds: real sockets on loopback, and the simulator
+# ---- processes over real sockets on loopback or in the simulator
 
-BLOCK = 8  # ports of one block; the last holds it
-USED = 4  # how many of them may be used: address, HTTP, and one or two more
-HELD = []
+PORTS_PER_BLOCK = 8  # the last port of a block is bound as a lock
+USABLE_PORTS = 4  # ports of a block for listeners: address, HTTP, and one or two more
+LOCK_SOCKETS = []
 
 
 def reserve_port():
-    """The first of four ports on every IP number of loopback that are ours until this process ends.
+    """Return the first of four consecutive ports, reserved on all loopback addresses until this process ends.
 
-    They lie outside the ports that the system gives to outgoing connections: one of those could else take a port
-    before its listener starts, or while its listener is down. A bound socket on the block's last port keeps
-    other test runs off.
+    They lie outside the system's range of ephemeral ports: otherwise an outgoing connection could take a port
+    before its listener starts or while the listener is down. The socket that stays bound to the last port of
+    the block keeps other test runs from using the block.
     """
     with open('/proc/sys/net/ipv4/ip_local_port_range', encoding='ascii') as file:
         low, high = map(int, file.read().split())
-    blocks = [*range(10_000, low - BLOCK, BLOCK), *range(high + 1, 65_536 - BLOCK, BLOCK)]
-    random.shuffle(blocks)
-    for first in blocks:
-        hold = socket.socket()
+    first_ports = [
+        *range(10_000, low - PORTS_PER_BLOCK, PORTS_PER_BLOCK),
+        *range(high + 1, 65_536 - PORTS_PER_BLOCK, PORTS_PER_BLOCK),
+    ]
+    random.shuffle(first_ports)
+    for first_port in first_ports:
+        lock = socket.socket()
         try:
-            hold.bind(('0.0.0.0', first + BLOCK - 1))
-            for port in range(first, first + USED):
+            lock.bind(('0.0.0.0', first_port + PORTS_PER_BLOCK - 1))
+            for port in range(first_port, first_port + USABLE_PORTS):
                 with socket.socket() as probe:
                     probe.bind(('0.0.0.0', port))
         except OSError:
-            hold.close()
+            lock.close()
             continue
-        HELD.append(hold)
-        return first
+        LOCK_SOCKETS.append(lock)
+        return first_port
     raise AssertionError(f'no free ports outside {low} to {high}')
 
 
-class Pair:
-    """Two processes that can talk, real or simulated, and a third address where nobody listens."""
+class ProcessPair:
+    """Two processes, real or simulated, that can call each other, and an address without a listener."""
 
     def __init__(self, kind):
         self.kind = kind
         self.counts = {}
 
-    def count(self, what):
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, name):
+        self.counts[name] = self.counts.get(name, 0) + 1
 
     def run(self, script):
         if self.kind == 'sim':
@@ -91,48 +94,48 @@
                 a, b = world.machine('a', '10.0.0.1:1'), world.machine('b', '10.0.0.2:1')
                 a.up = b.up = True
                 world.machine('c', '10.0.0.3:1')
-                there = world.ctx(b, {})
+                called = world.ctx(b, {})
                 done = asyncio.get_running_loop().create_future()
 
                 async def kill():
                     world.kill(b)
                     await world.sleep(0)
 
-                await there.net.serve('10.0.0.2:1', self.handler)
-                await there.web.serve('10.0.0.2:2', self.door)
+                await called.net.serve('10.0.0.2:1', self.handle_message)
+                await called.web.serve('10.0.0.2:2', self.serve_http)
                 done.set_result(None)
-                here = world.ctx(a, {})
-                await script(here.net, here.web, '10.0.0.2:1', '10.0.0.2:2', '10.0.0.3:1', kill)
+                caller = world.ctx(a, {})
+                await script(caller.net, caller.web, '10.0.0.2:1', '10.0.0.2:2', '10.0.0.3:1', kill)
 
             World.play(1, main)
             return
 
         async def main():
             port = reserve_port()
-            web_port, none = port + 1, port + 2
-            there, here = TcpNet(self.count), TcpNet()
-            server, client = CurlWeb(4), CurlWeb(300)
-            await there.serve(f'127.0.0.1:{port}', self.handler)
-            await server.serve(f'127.0.0.1:{web_port}', self.door)
+            web_port, unused_port = port + 1, port + 2
+            called, caller = TcpNet(self.count), TcpNet()
+            http_server, http_client = CurlWeb(4), CurlWeb(300)
+            await called.serve(f'127.0.0.1:{port}', self.handle_message)
+            await http_server.serve(f'127.0.0.1:{web_port}', self.serve_http)
             self.address = ('127.0.0.1', port)
             try:
                 await script(
-                    here,
-                    client,
+                    caller,
+                    http_client,
                     f'127.0.0.1:{port}',
                     f'127.0.0.1:{web_port}',
-                    f'127.0.0.1:{none}',
-                    there.close,
+                    f'127.0.0.1:{unused_port}',
+                    called.close,
                 )
             finally:
-                await here.close()
-                await there.close()
-                await client.close()
-                await server.close()
+                await caller.close()
+                await called.close()
+                await http_client.close()
+                await http_server.close()
 
         asyncio.run(main())
 
-    async def handler(self, message):
+    async def handle_message(self, message):
         if message['k'] == 'echo':
             return {'x': message['x']}
         if message['k'] == 'fault':
@@ -141,119 +144,121 @@
             await asyncio.get_running_loop().create_future()
         return {'x': message['nothing']}
 
-    async def door(self, call, out):
-        if call.path == '/lines':
-            await out.head(200, {'X-A': 'b'})
+    async def serve_http(self, request, response):
+        if request.path == '/lines':
+            await response.head(200, {'X-A': 'b'})
             for n in range(5):
-                await out.line({'n': n})
-            await out.end()
-        elif call.path == '/break':
-            await out.head(200, {})
-            await out.line({'n': 0})
-            out.cut()
-        elif call.path == '/hang':
-            await out.head(200, {})
-            await out.line({'n': 0})
-            await out.gone
+                await response.line({'n': n})
+            await response.end()
+        elif request.path == '/break':
+            await response.head(200, {})
+            await response.line({'n': 0})
+            response.cut()
+        elif request.path == '/hang':
+            await response.head(200, {})
+            await response.line({'n': 0})
+            await response.gone
             self.count('gone')
         else:
-            await out.whole(200, {'gone': self.counts.get('gone', 0)})
+            await response.whole(200, {'gone': self.counts.get('gone', 0)})
 
 
 @given('a pair of processes over "{kind}"')
 @given('a web server over "{kind}"')
 def pair(context, kind):
-    context.pair = Pair('sim' if kind == 'sim' else 'real')
+    context.pair = ProcessPair('sim' if kind == 'sim' else 'real')
 
 
-@then('a return comes back to the one that asked')
+@then('a reply reaches the caller')
 def echo(context):
-    async def script(net, web, there, door, none, kill):
-        assert await net.ask(there, {'k': 'echo', 'x': [1, 'a', b'b', None]}, from_ms(2000)) == {
+    async def script(net, web, address, web_address, unused_address, kill):
+        assert await net.ask(address, {'k': 'echo', 'x': [1, 'a', b'b', None]}, from_ms(2000)) == {
             'x': [1, 'a', b'b', None]
         }
 
     context.pair.run(script)
 
 
-@then('many asks at once each get their own return')
-def many(context):
-    async def script(net, web, there, door, none, kill):
-        got = await asyncio.gather(
-            *[net.ask(there, {'k': 'echo', 'x': n}, from_ms(5000)) for n in range(200)]
+@then('each of many concurrent calls gets its own reply')
+def concurrent_calls(context):
+    async def script(net, web, address, web_address, unused_address, kill):
+        received = await asyncio.gather(
+            *[net.ask(address, {'k': 'echo', 'x': n}, from_ms(5000)) for n in range(200)]
         )
-        assert [g['x'] for g in got] == list(range(200))
+        assert [reply['x'] for reply in received] == list(range(200))
 
     context.pair.run(script)
 
 
-@then('a fault crosses with its code, text and findings')
+@then('a fault reaches the caller with its code, text and findings')
 def fault(context):
-    async def script(net, web, there, door, none, kill):
+    async def script(net, web, address, web_address, unused_address, kill):
         try:
-            await net.ask(there, {'k': 'fault'}, from_ms(2000))
+            await net.ask(address, {'k': 'fault'}, from_ms(2000))
         except Fault as e:
             assert (e.code, e.text, e.findings, e.wait_ms) == ('shed', 'full', (('a.b', 'is bad'),), 70)
             return
-        raise AssertionError('no fault came')
+        raise AssertionError('the call did not fail')
 
     context.pair.run(script)
 
 
-async def code_of(work):
+async def fault_code(call):
     try:
-        await work
+        await call
     except Fault as e:
         return e.code
     return None
 
 
-@then('nobody listening is told as "unreachable"')
+@then('a call to an address without a listener fails with "unreachable"')
 def unreachable(context):
-    async def script(net, web, there, door, none, kill):
-        assert await code_of(net.ask(none, {'k': 'echo', 'x': 1}, from_ms(2000))) == 'unreachable'
+    async def script(net, web, address, web_address, unused_address, kill):
+        assert (
+            await fault_code(net.ask(unused_address, {'k': 'echo', 'x': 1}, from_ms(2000))) == 'unreachable'
+        )
 
     context.pair.run(script)
 
 
-@then('no return in time is told as "slow"')
+@then('a call without a reply in time fails with "slow"')
 def slow(context):
-    async def script(net, web, there, door, none, kill):
-        assert await code_of(net.ask(there, {'k': 'hang'}, from_ms(100))) == 'slow'
+    async def script(net, web, address, web_address, unused_address, kill):
+        assert await fault_code(net.ask(address, {'k': 'hang'}, from_ms(100))) == 'slow'
 
     context.pair.run(script)
 
 
-@then('a peer that ends in the middle is told as "lost"')
+@then('a call whose peer is killed before the reply fails with "lost"')
 def lost(context):
-    async def script(net, web, there, door, none, kill):
-        work = asyncio.ensure_future(code_of(net.ask(there, {'k': 'hang'}, from_ms(5000))))
-        while not await net.ask(there, {'k': 'echo', 'x': 1}, from_ms(2000)):
+    async def script(net, web, address, web_address, unused_address, kill):
+        code = asyncio.ensure_future(fault_code(net.ask(address, {'k': 'hang'}, from_ms(5000))))
+        while not await net.ask(address, {'k': 'echo', 'x': 1}, from_ms(2000)):
             pass
         await kill()
-        assert await work == 'lost'
+        assert await code == 'lost'
 
     context.pair.run(script)
 
 
-@then('a message the handler cannot read is told as "garbled"')
+@then('a message that the handler cannot read fails with "garbled"')
 def garbled(context):
-    async def script(net, web, there, door, none, kill):
-        assert await code_of(net.ask(there, {'k': 'other'}, from_ms(2000))) == 'garbled'
+    async def script(net, web, address, web_address, unused_address, kill):
+        assert await fault_code(net.ask(address, {'k': 'other'}, from_ms(2000))) == 'garbled'
 
     context.pair.run(script)
 
 
-@when('a stranger sends bytes that are no greeting')
-@when('a peer sends a frame that is no message')
-def noted(context):
-    context.strange = True
+@when("a client sends bytes that do not begin with the protocol's magic number")
+@when('a peer sends a frame that holds no message')
+def invalid_bytes(context):
+    context.invalid_bytes = True
 
 
-@then('both links are closed and counted')
-def strangers(context):
-    async def script(net, web, there, door, none, kill):
-        host, _, port = there.partition(':')
+@then('the connections are closed and counted')
+def connections_closed(context):
+    async def script(net, web, address, web_address, unused_address, kill):
+        host, _, port = address.partition(':')
         for data in (
             b'GET / HTTP/1.1\r\n\r\n',
             MAGIC + struct.pack('>I', 3) + b'\xff\xff\xff',
@@ -263,7 +268,7 @@
             writer.write(data)
             assert await reader.read() == b''
             writer.close()
-        assert await net.ask(there, {'k': 'echo', 'x': 1}, from_ms(2000)) == {'x': 1}
+        assert await net.ask(address, {'k': 'echo', 'x': 1}, from_ms(2000)) == {'x': 1}
 
     context.pair.run(script)
     assert context.pair.counts == {'net.stranger': 1, 'net.garbled': 2}, context.pair.counts
@@ -272,54 +277,55 @@
 # ---- web
 
 
-async def drink(flow):
-    out = []
-    while not out or out[-1][0] != 'end':
-        out.append(await flow.next())
-    return out
+async def read_events(response):
+    """Return all events of a response, to its end."""
+    events = []
+    while not events or events[-1][0] != 'end':
+        events.append(await response.next())
+    return events
 
 
-@then('lines arrive in order and the end is told')
+@then('lines arrive in order, then the end of the response')
 def lines(context):
-    async def script(net, web, there, door, none, kill):
-        got = await drink(web.open(door, 'GET', '/lines', limit=from_ms(3000)))
-        assert got[0][:2] == ('head', 200) and got[0][2]['x-a'] == 'b', got
-        assert [x[1]['n'] for x in got if x[0] == 'line'] == [0, 1, 2, 3, 4]
-        assert got[-1] == ('end', None)
+    async def script(net, web, address, web_address, unused_address, kill):
+        received = await read_events(web.open(web_address, 'GET', '/lines', limit=from_ms(3000)))
+        assert received[0][:2] == ('head', 200) and received[0][2]['x-a'] == 'b', received
+        assert [event[1]['n'] for event in received if event[0] == 'line'] == [0, 1, 2, 3, 4]
+        assert received[-1] == ('end', None)
 
     context.pair.run(script)
 
 
-@then('an answer that breaks off is told as "lost"')
-def breaks(context):
-    async def script(net, web, there, door, none, kill):
-        got = await drink(web.open(door, 'GET', '/break', limit=from_ms(3000)))
-        assert got[-1] == ('end', 'lost'), got
+@then('a response that breaks off ends with "lost"')
+def response_breaks_off(context):
+    async def script(net, web, address, web_address, unused_address, kill):
+        received = await read_events(web.open(web_address, 'GET', '/break', limit=from_ms(3000)))
+        assert received[-1] == ('end', 'lost'), received
 
     context.pair.run(script)
 
 
-@then('nobody serving is told as "unreachable"')
-def unserved(context):
-    async def script(net, web, there, door, none, kill):
-        got = await drink(web.open(none, 'GET', '/', limit=from_ms(3000)))
-        assert got == [('end', 'unreachable')], got
+@then('a request to an address without a server ends with "unreachable"')
+def no_server(context):
+    async def script(net, web, address, web_address, unused_address, kill):
+        received = await read_events(web.open(unused_address, 'GET', '/', limit=from_ms(3000)))
+        assert received == [('end', 'unreachable')], received
 
     context.pair.run(script)
 
 
-@then('a caller that cuts is seen by the server at once')
-def cuts(context):
-    async def script(net, web, there, door, none, kill):
-        flow = web.open(door, 'GET', '/hang', limit=from_ms(60_000))
-        while (await flow.next())[0] != 'line':
+@then('the server sees at once that a client disconnected')
+def disconnect_seen(context):
+    async def script(net, web, address, web_address, unused_address, kill):
+        response = web.open(web_address, 'GET', '/hang', limit=from_ms(60_000))
+        while (await response.next())[0] != 'line':
             pass
-        flow.cut()
+        response.cut()
         for _ in range(400):
-            _, body, _ = await fetch(web, door, 'GET', '/asked', limit=from_ms(3000))
+            _, body, _ = await fetch(web, web_address, 'GET', '/asked', limit=from_ms(3000))
             if body['gone']:
                 return
-        raise AssertionError('the server did not see it')
+        raise AssertionError('the server did not see the disconnect')
 
     context.pair.run(script)
 
@@ -327,30 +333,30 @@
 # ---- disks
 
 
-class Plate:
-    """A disk that can lose its power."""
+class CrashingDisk:
+    """A disk whose process is killed between two runs."""
 
     def __init__(self, kind):
         self.kind = kind
         self.folder = tempfile.mkdtemp() if kind == 'sqlite' else None
         self.rows = {}
 
-    def run(self, first, second):
-        """Run `first` on a disk, end its process, and `second` on what is left."""
+    def run(self, write, check):
+        """Run `write` on a disk, end its process, then run `check` on the rows that are read back."""
         if self.kind == 'sim':
 
             async def main(world):
-                m = world.machine('a', '10.0.0.1:1')
-                box = {}
+                machine = world.machine('a', '10.0.0.1:1')
+                options = {}
 
                 async def program(ctx):
                     await ctx.disk.open()
-                    await first(ctx.disk, box)
+                    await write(ctx.disk, options)
 
-                world.start(m, {}, program)
-                await world.sleep(1 if not box.get('fast') else 0)
-                world.kill(m)
-                await second(await world.ctx(m, {}).disk.open())
+                world.start(machine, {}, program)
+                await world.sleep(1 if not options.get('kill_at_once') else 0)
+                world.kill(machine)
+                await check(await world.ctx(machine, {}).disk.open())
 
             World.play(random.randrange(1000), main)
             return
@@ -358,11 +364,11 @@
         async def main():
             disk = SqliteDisk(self.folder)
             await disk.open()
-            await first(disk, {})
+            await write(disk, {})
             await disk.close()
-            again = SqliteDisk(self.folder)
-            await second(await again.open())
-            await again.close()
+            reopened = SqliteDisk(self.folder)
+            await check(await reopened.open())
+            await reopened.close()
 
         try:
             asyncio.run(main())
@@ -372,131 +378,139 @@
 
 
 @given('a disk of "{kind}"')
-def disk(context, kind):
-    context.plate = Plate(kind)
+def disk_of_kind(context, kind):
+    context.crashing_disk = CrashingDisk(kind)
 
 
-@then('what was written is there after a kill')
-def there_after(context):
-    async def first(d, box):
-        await d.write((Put('p', 'a', {'n': [1, 2]}), Put('q', 'b', 'x')))
+@then('synced writes survive a kill')
+def synced_writes_survive(context):
+    async def write(disk, options):
+        await disk.write((Put('p', 'a', {'n': [1, 2]}), Put('q', 'b', 'x')))
 
-    async def second(rows):
+    async def check(rows):
         assert rows == {'p': {'a': {'n': [1, 2]}}, 'q': {'b': 'x'}}, rows
 
-    context.plate.run(first, second)
+    context.crashing_disk.run(write, check)
 
 
-@then('what was not yet synced may be lost but is never half there')
-def never_half(context):
-    async def first(d, box):
-        await d.write((Put('p', 'a', 1), Put('p', 'b', 1)))
-        box['fast'] = True
-        asyncio.ensure_future(d.write((Put('p', 'a', 2), Put('p', 'b', 2))))
+@then('a write that is not synced yet survives a kill whole or not at all')
+def whole_or_not_at_all(context):
+    async def write(disk, options):
+        await disk.write((Put('p', 'a', 1), Put('p', 'b', 1)))
+        options['kill_at_once'] = True
+        asyncio.ensure_future(disk.write((Put('p', 'a', 2), Put('p', 'b', 2))))
 
-    async def second(rows):
+    async def check(rows):
         assert rows['p']['a'] == rows['p']['b'] in (1, 2), rows
 
-    context.plate.run(first, second)
+    context.crashing_disk.run(write, check)
 
 
-@then('a part can be emptied and a row taken out')
+@then('a part can be emptied and a row deleted')
 def emptied(context):
-    async def first(d, box):
-        await d.write((Put('p', 'a', 1), Put('q', 'a', 1), Put('q', 'b', 2)))
-        await d.write((Put('p', None, None), Put('p', 'c', 3), Put('q', 'a', None)))
+    async def write(disk, options):
+        await disk.write((Put('p', 'a', 1), Put('q', 'a', 1), Put('q', 'b', 2)))
+        await disk.write((Put('p', None, None), Put('p', 'c', 3), Put('q', 'a', None)))
 
-    async def second(rows):
+    async def check(rows):
         assert rows == {'p': {'c': 3}, 'q': {'b': 2}}, rows
 
-    context.plate.run(first, second)
+    context.crashing_disk.run(write, check)
 
 
-@then('a second process on the folder is refused with "disk"')
+@then('a second process that opens the folder is refused with "disk"')
 def second_process(context):
-    async def first(d, box):
-        other = SqliteDisk(context.plate.folder)
-        assert await code_of(other.open()) == 'disk'
+    async def write(disk, options):
+        other = SqliteDisk(context.crashing_disk.folder)
+        assert await fault_code(other.open()) == 'disk'
 
-    async def second(rows):
+    async def check(rows):
         assert rows == {}
 
-    context.plate.run(first, second)
+    context.crashing_disk.run(write, check)
 
 
-@then('a torn file is refused with "disk"')
-def torn(context):
+@then('a corrupt database is refused with "disk"')
+def corrupt_database(context):
     async def main():
-        path = os.path.join(context.plate.folder, 'quillstall.db')
-        d = SqliteDisk(context.plate.folder)
-        await d.open()
-        await d.write(tuple(Put('p', f'k{n}', 'x' * 500) for n in range(200)))
-        await d.close()
+        path = os.path.join(context.crashing_disk.folder, 'quillstall.db')
+        disk = SqliteDisk(context.crashing_disk.folder)
+        await disk.open()
+        await disk.write(tuple(Put('p', f'k{n}', 'x' * 500) for n in range(200)))
+        await disk.close()
         size = os.path.getsize(path)
         with open(path, 'r+b') as file:
             file.seek(size // 2)
             file.write(os.urandom(4096))
             file.truncate(size * 3 // 4)
-        assert await code_of(SqliteDisk(context.plate.folder).open()) == 'disk'
+        assert await fault_code(SqliteDisk(context.crashing_disk.folder).open()) == 'disk'
 
     asyncio.run(main())
 
 
 @then('a missing folder is refused with "disk"')
-def missing(context):
-    shutil.rmtree(context.plate.folder)
-    assert asyncio.run(code_of(SqliteDisk(context.plate.folder).open())) == 'disk'
+def missing_folder(context):
+    shutil.rmtree(context.crashing_disk.folder)
+    assert asyncio.run(fault_code(SqliteDisk(context.crashing_disk.folder).open())) == 'disk'
 
 
-# ---- a link that is dead without either end knowing it
+# ---- a connection that is dead without either end knowing it
 
 
-@given('a process whose first link is dead without either end knowing it')
-def dead_link(context):
+@given('a process whose first connection is dead without either end knowing it')
+def dead_connection(context):
     async def script():
-        links = []
+        connections = []
 
         async def serve(reader, writer):
-            links.append(writer)
-            if len(links) == 1:
-                while await reader.read(4096):  # taken, and never answered
+            connections.append(writer)
+            if len(connections) == 1:
+                while await reader.read(4096):  # reads requests and never replies
                     pass
                 return
             await reader.readexactly(4)
             while True:
                 (size,) = struct.unpack('>I', await reader.readexactly(4))
-                call, message = unpack(await reader.readexactly(size))
-                writer.write(pack(call, {'ok': message['k']}))
+                call_id, message = unpack(await reader.readexactly(size))
+                writer.write(pack(call_id, {'ok': message['k']}))
 
         port = reserve_port()
         server = await asyncio.start_server(serve, '127.0.0.1', port)
-        net, out = TcpNet(lambda what: context.counts.update({what: context.counts.get(what, 0) + 1})), []
+        net, outcomes = (
+            TcpNet(lambda name: context.counts.update({name: context.counts.get(name, 0) + 1})),
+            [],
+        )
         for _ in range(4):
             try:
-                out.append(await net.ask(f'127.0.0.1:{port}', {'k': 'hi'}, from_ms(200)))
+                outcomes.append(await net.ask(f'127.0.0.1:{port}', {'k': 'hi'}, from_ms(200)))
             except Fault as e:
-                out.append(e.code)
+                outcomes.append(e.code)
         await net.close()
         server.close()
-        return out, len(links)
+        return outcomes, len(connections)
 
     context.counts = {}
     context.script = script
 
 
-@when('it is asked again and again, 0.2 seconds each')
-def asked_again(context):
-    context.asked, context.links = asyncio.run(context.script())
+@when('it is called repeatedly with a timeout of 0.2 seconds')
+def call_repeatedly(context):
+    context.outcomes, context.connections = asyncio.run(context.script())
 
 
-@then('the first ask is slow, a later one is returned, and the process was reached over a second link')
-def second_link(context):
-    assert context.asked[0] == 'slow' and context.asked[-1] == {'ok': 'hi'}, context.asked
-    assert context.links == 2 and context.counts['net.silent'] == 1, (context.links, context.counts)
+@then(
+    'the first call times out, a later one gets a reply, and the process was reached over a second connection'
+)
+def second_connection(context):
+    assert context.outcomes[0] == 'slow' and context.outcomes[-1] == {'ok': 'hi'}, context.outcomes
+    assert context.connections == 2 and context.counts['net.silent'] == 1, (
+        context.connections,
+        context.counts,
+    )
 
 
 def lone_core_settings(data, port=None, **more):
-    """The settings of a core, the only one of three that is there."""
+    """Return the settings of the only running core of three."""
     port = port or reserve_port()
     return {
         'name': 'c',
--- a/features/steps/platform_folder.py
+++ b/features/steps/platform_folder.py
@@ -53,11 +53,11 @@
 
 @when("the doctests of the platform's folder are run")
 def run_folder_examples(context):
-    context.example_count = context.example_bad = 0
+    context.example_count = context.failed_examples = 0
     for path, _ in python_files(FOLDER):
         results = doctest.testmod(import_platform_module(os.path.basename(path)[:-3]))
         context.example_count += results.attempted
-        context.example_bad += results.failed
+        context.failed_examples += results.failed
 
 
 def platform_names_in(text):
