--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -9,7 +9,7 @@
 from datetime import timedelta
 
 from behave import given, then, when
-from common import held_port
+from common import reserve_port
 
 from quillstall.controlplane import doctor
 from quillstall.controlplane.cli import send_request
@@ -33,7 +33,7 @@
 
     async def open(self, deployment, cuttable_links):
         """Start the processes of a deployment, and the checks that run beside its traffic."""
-        self.fleet = Fleet(DEPLOYS[deployment]('127.0', held_port()), wires=cuttable_links)
+        self.fleet = Fleet(DEPLOYS[deployment]('127.0', reserve_port()), wires=cuttable_links)
         try:
             await self.fleet.open()
         except BaseException:
--- a/features/steps/messages.py
+++ b/features/steps/messages.py
@@ -7,18 +7,18 @@
 from types import SimpleNamespace
 
 from behave import given, then, when
-from common import held_port
+from common import reserve_port
 from standin import wait_until
 
 from quillstall.controlplane import store
 from quillstall.network.net import MAGIC, TcpNet, decode_frame, encode_frame
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.effect import Return, Told
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx, Host
+from quillstall.runtime.process import Context, ReducerRunner
 
-SHORT_TIMEOUT = of_ms(150)
-LONG_TIMEOUT = of_ms(3000)
+SHORT_TIMEOUT = from_ms(150)
+LONG_TIMEOUT = from_ms(3000)
 NOW = datetime(2026, 1, 1, tzinfo=UTC)
 
 
@@ -27,7 +27,7 @@
 
     def __init__(self):
         self.calls = []  # (writer, call number, message), in order
-        self.address = f'127.0.0.1:{held_port()}'
+        self.address = f'127.0.0.1:{reserve_port()}'
 
     async def start(self):
         host, port = self.address.split(':')
@@ -205,7 +205,7 @@
         context.received.append(message['name'])
         return {'ok': True}
 
-    context.address = f'127.0.0.1:{held_port()}'
+    context.address = f'127.0.0.1:{reserve_port()}'
     run(context, context.net.serve(context.address, handler))
 
 
@@ -242,8 +242,8 @@
         received = state.received + (event.message['name'],)
         return SimpleNamespace(me=state.me, received=received), (Return(event.call, {'ok': True}),)
 
-    ctx = Ctx({'address': '127.0.0.1:1'}, clock, None, None, None, journal, None)
-    context.host = Host(ctx, SimpleNamespace(me='new', received=()), step, None)
+    ctx = Context({'address': '127.0.0.1:1'}, clock, None, None, None, journal, None)
+    context.host = ReducerRunner(ctx, SimpleNamespace(me='new', received=()), step, None)
 
 
 @when('it receives a message for the earlier member, one for itself, and one that names no member')
@@ -251,9 +251,9 @@
     async def script():
         host_task = asyncio.ensure_future(context.host.loop())
         context.replies = [
-            await context.host.told({'name': 'for old', 'to': 'old'}),
-            await context.host.told({'name': 'for new', 'to': 'new'}),
-            await context.host.told({'name': 'for any'}),
+            await context.host.handle({'name': 'for old', 'to': 'old'}),
+            await context.host.handle({'name': 'for new', 'to': 'new'}),
+            await context.host.handle({'name': 'for any'}),
         ]
         host_task.cancel()
 
@@ -279,7 +279,7 @@
 @then('it replies that the partition is elsewhere, and stores nothing')
 def elsewhere(context):
     (effect,) = context.effects
-    assert type(effect) is Return and effect.ret['fault'] == 'moved', context.effects
+    assert type(effect) is Return and effect.reply['fault'] == 'moved', context.effects
 
 
 # ---- the first packet of a connection (SYN) is lost
--- a/features/steps/operators.py
+++ b/features/steps/operators.py
@@ -733,7 +733,7 @@
         self.state, effects = core.step(self.state, event, self.now)
         for effect in effects:
             if type(effect) is Return:
-                self.replies[effect.call] = effect.ret
+                self.replies[effect.call] = effect.reply
             elif type(effect) is Write:
                 self.event(Wrote(effect.tag))
             elif type(effect) is Ask and effect.message['k'] == 'hello':
--- a/features/steps/signals.py
+++ b/features/steps/signals.py
@@ -16,7 +16,7 @@
 
 from quillstall.controlplane.admin_api import AdminApi
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx
+from quillstall.runtime.process import Context
 
 START_LIMIT_S = 30.0
 POLL_INTERVAL_S = 0.01
@@ -121,8 +121,8 @@
 
     journal = SimpleNamespace(count=lambda *args: None)
     context.net = SilentNet()
-    ctx = Ctx({'address': '127.0.0.1:1', 'role': 'core'}, None, context.net, None, None, journal, None)
-    context.host = SimpleNamespace(told=redirect_to_primary, tasks=set())
+    ctx = Context({'address': '127.0.0.1:1', 'role': 'core'}, None, context.net, None, None, journal, None)
+    context.host = SimpleNamespace(handle=redirect_to_primary, tasks=set())
     context.admin_api = AdminApi(ctx, context.host)
 
 
--- a/src/quillstall/controlplane/admin_api.py
+++ b/src/quillstall/controlplane/admin_api.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 from quillstall.runtime import metrics
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx, Host
+from quillstall.runtime.process import Context, ReducerRunner
 
-CHANGE_TIMEOUT = of_ms(8000)  # a change may have to wait until old leases have expired
-READ_TIMEOUT = of_ms(700)  # a read waits for the confirmations of backups only
+CHANGE_TIMEOUT = from_ms(8000)  # a change may have to wait until old leases have expired
+READ_TIMEOUT = from_ms(700)  # a read waits for the confirmations of backups only
 READS = ('show',)
 OPERATIONS = {
     ('GET', '/v1/policy'): 'show',
@@ -43,7 +43,7 @@
 class AdminApi:
     """Handles operators' requests, and forwards to the primary those that need it."""
 
-    def __init__(self, ctx: Ctx, host: Host):
+    def __init__(self, ctx: Context, host: ReducerRunner):
         self.ctx = ctx
         self.host = host
 
@@ -80,7 +80,7 @@
             return {'ok': True, 'lines': list(self.ctx.journal.lines)}
         if operation == 'status':
             return {
-                **await self.host.told({'k': 'status'}),
+                **await self.host.handle({'k': 'status'}),
                 'now': self.ctx.clock.wall().isoformat(),
                 'disk': {'syncs': self.ctx.disk.syncs, 'sync_ms': self.ctx.disk.sync_ms},
             }
@@ -120,12 +120,12 @@
 
     async def call_primary_untimed(self, message: dict) -> dict:
         """Return the primary's reply, of this process or of the address that it names as the primary."""
-        reply = await self.host.told(message)
+        reply = await self.host.handle(message)
         primary_address = reply.get('more', {}).get('at') if reply.get('fault') == 'core_away' else None
         if primary_address and primary_address != self.ctx.startup['address']:
             return await self.forward(primary_address, message)
         if 'fault' in reply:
-            raise Fault.of(reply)
+            raise Fault.unpack(reply)
         return reply
 
     async def forward(self, address: str, message: dict) -> dict:
--- a/src/quillstall/controlplane/cli.py
+++ b/src/quillstall/controlplane/cli.py
@@ -12,7 +12,7 @@
 from quillstall.configuration.startup import read
 from quillstall.controlplane import doctor
 from quillstall.network.web import CurlWeb, fetch
-from quillstall.runtime.daemon import tell
+from quillstall.runtime.daemon import print_fault
 from quillstall.runtime.errors import Fault
 
 CORES = option(
@@ -61,7 +61,7 @@
         try:
             status, data, _ = asyncio.run(send_request(self.option('at'), method, path, body, headers))
         except Fault as e:
-            tell(e, self.line_error)
+            print_fault(e, self.line_error)
             return 3, None
         if status >= 400:
             self.line_error(f'{data.get("code")}: {data.get("detail") or data.get("title")}')
--- a/src/quillstall/controlplane/run.py
+++ b/src/quillstall/controlplane/run.py
@@ -8,18 +8,18 @@
 from quillstall.controlplane.admin_api import AdminApi
 from quillstall.network.httpserver import Listener
 from quillstall.network.listing import Listing
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.disk import CorruptFile, Put
 from quillstall.runtime.errors import Fault
-from quillstall.runtime.process import Ctx, Host, blocked_after_s
+from quillstall.runtime.process import Context, ReducerRunner, blocked_after_s
 
-HANDOVER_TIMEOUT = of_ms(1700)  # the longest that a stop signal waits for other cores to take over
-HANDOVER_POLL_INTERVAL = of_ms(100)
-LISTING_INTERVAL = of_ms(700)  # between two polls of the list of replicas, which only the primary makes
+HANDOVER_TIMEOUT = from_ms(1700)  # the longest that a stop signal waits for other cores to take over
+HANDOVER_POLL_INTERVAL = from_ms(100)
+LISTING_INTERVAL = from_ms(700)  # between two polls of the list of replicas, which only the primary makes
 ROLE_MODULES: dict[str, Any] = {'core': core, 'store': store}
 
 
-async def run(ctx: Ctx, ready: Any = None) -> None:
+async def run(ctx: Context, ready: Any = None) -> None:
     """Serve until the task is cancelled; raise if the database file is found corrupt.
 
     The future `ready` gets the host as its result once the process serves.
@@ -29,20 +29,20 @@
     role = ctx.startup['role']
     if identity.get('role') not in (None, role):
         raise Fault('disk', f"the data folder is a {identity['role']}'s, this is a {role}")
-    name = identity.get('id') or f'{ctx.startup["name"]}-{UUID(int=ctx.dice.getrandbits(128)).hex[:6]}'
+    name = identity.get('id') or f'{ctx.startup["name"]}-{UUID(int=ctx.rng.getrandbits(128)).hex[:6]}'
     start_count = identity.get('starts', 0) + 1
     await ctx.disk.write((Put('', 'id', name), Put('', 'role', role), Put('', 'starts', start_count)))
     reducer = ROLE_MODULES[role]
     startup = {**ctx.startup, 'founding': False} if ctx.disk.was_set_aside() else ctx.startup
     state = reducer.load(name, startup, rows, start_count * 1_000_000, ctx.clock.now())
     ctx.journal.note('start', role=role, id=name, count=start_count, empty='id' not in identity)
-    host = Host(ctx, state, reducer.step, reducer.where)
-    await ctx.net.serve(ctx.startup.get('listen') or ctx.startup['address'], host.told)
+    host = ReducerRunner(ctx, state, reducer.step, reducer.where)
+    await ctx.net.serve(ctx.startup.get('listen') or ctx.startup['address'], host.handle)
     if ctx.startup.get('http'):
         await ctx.web.serve(ctx.startup['http'], AdminApi(ctx, host).serve)
     control = None
-    if ctx.desk and ctx.startup.get('control'):
-        control = Listener(ctx.desk(ctx, host).serve, ctx.journal.count)
+    if ctx.admin_api and ctx.startup.get('control'):
+        control = Listener(ctx.admin_api(ctx, host).serve, ctx.journal.count)
         control.listen(ctx.startup['control'])
     if ctx.lister and role == 'core':
         host.spawn(poll_listing(ctx, host))
@@ -57,7 +57,7 @@
         await ctx.disk.close()
 
 
-async def open_disk(ctx: Ctx) -> dict[str, dict[str, Any]]:
+async def open_disk(ctx: Context) -> dict[str, dict[str, Any]]:
     """Return all rows of the data folder.
 
     A file that is torn or corrupt is set aside, and the process comes back as a new member with an empty folder,
@@ -77,7 +77,7 @@
     return await ctx.disk.open()
 
 
-async def hand_over(host: Host) -> None:
+async def hand_over(host: ReducerRunner) -> None:
     """On a stop signal, wait up to HANDOVER_TIMEOUT for other cores to take over what this core holds.
 
     A store holds nothing that could be handed over without copying: it just ends, and its partitions go on when it
@@ -99,7 +99,7 @@
         await clock.sleep(HANDOVER_POLL_INTERVAL)
 
 
-async def poll_listing(ctx: Ctx, host: Host) -> None:
+async def poll_listing(ctx: Context, host: ReducerRunner) -> None:
     """While this core is the primary, poll the list of replicas on behalf of all nodes."""
     while True:
         if core_state.is_primary(host.state):
--- a/src/quillstall/network/httpclient.py
+++ b/src/quillstall/network/httpclient.py
@@ -194,7 +194,7 @@
             self.progress = None
 
     async def read_headers(self, timeout: timedelta) -> tuple[int, Any]:
-        """Return the status and headers: `status, headers = await exchange.read_headers(of_ms(500))`."""
+        """Return the status and headers: `status, headers = await exchange.read_headers(from_ms(500))`."""
         if not self.has_headers and self.fault is None:
             await self.wait_for_progress(timeout)
         if self.has_headers:
@@ -202,7 +202,7 @@
         raise self.fault or Fault('lost', self.endpoint[0])
 
     async def read_data(self, timeout: timedelta) -> bytes | None:
-        """Return more of the body, or None at its end: `await exchange.read_data(of_ms(500))`."""
+        """Return more of the body, or None at its end: `await exchange.read_data(from_ms(500))`."""
         while True:
             if self.chunks:
                 data = b''.join(self.chunks)
--- a/src/quillstall/network/httpserver.py
+++ b/src/quillstall/network/httpserver.py
@@ -179,7 +179,7 @@
         )
 
     def set_limits(self, max_header_size: int, max_body_size: int, idle_timeout: timedelta) -> None:
-        """Apply limits from the next request on each connection: `listener.set_limits(16384, 4096, of_ms(60_000))`.
+        """Apply limits from the next request on each connection: `listener.set_limits(16384, 4096, from_ms(60_000))`.
 
         Open connections share the parameter object, so they follow too: the idle timeout of a connection
         is always the current one.
--- a/src/quillstall/network/net.py
+++ b/src/quillstall/network/net.py
@@ -59,7 +59,7 @@
 async def connect(address: str, limit: timedelta, source: str | None = None) -> IOStream:
     """Return a new connection, made without a name lookup. Raises Fault 'unreachable' if there is none in time.
 
-    `stream = await connect('127.0.0.1:9000', of_ms(400))`
+    `stream = await connect('127.0.0.1:9000', from_ms(400))`
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     set_socket_options(sock)
@@ -359,7 +359,7 @@
             return link
 
     async def ask(self, address: str, message: dict, limit: timedelta) -> dict:
-        """Return a process's reply: `await net.ask('127.0.0.1:7000', {'k': 'hi'}, of_ms(500))`."""
+        """Return a process's reply: `await net.ask('127.0.0.1:7000', {'k': 'hi'}, from_ms(500))`."""
         sent_at = None
         try:
             async with asyncio.timeout(max(0.0, limit.total_seconds())):
@@ -383,7 +383,7 @@
                 'slow' if sent_at is not None else 'unreachable', f'{address}: no reply in {limit}'
             ) from e
         if 'fault' in reply:
-            raise Fault.of(reply)
+            raise Fault.unpack(reply)
         return reply
 
     async def close(self) -> None:
--- a/src/quillstall/runtime/effect.py
+++ b/src/quillstall/runtime/effect.py
@@ -1,11 +1,15 @@
-"""Effects and the events that answer them: what a reducer asks its process to do, as data."""
+"""Effects and events of a reducer, as data.
+
+A reducer is a pure function of its state and one event; it returns the next state and the effects that its
+process is to carry out. Some effects are answered by a later event with the same tag.
+"""
 
 from datetime import timedelta
 from typing import Any, NamedTuple
 
 
 class Ask(NamedTuple):
-    """Send `message` to the member `to`; its return comes as Heard(tag, return).
+    """Effect: send `message` to the member `to`; the reply, or its absence, comes as Heard(tag, reply).
 
     >>> Ask('m1', {'k': 'hi'}, ('t',)).to
     'm1'
@@ -14,11 +18,11 @@
     to: str
     message: dict
     tag: tuple
-    limit_ms: int = 1000
+    timeout_ms: int = 1000
 
 
 class Write(NamedTuple):
-    """Write rows whole; Wrote(tag) comes once they are synced.
+    """Effect: write a batch of rows atomically; Wrote(tag) comes once the batch is synced.
 
     >>> Write((), ('t',)).puts
     ()
@@ -29,40 +33,40 @@
 
 
 class Done(NamedTuple):
-    """A command of the tag's owner has been confirmed on two disks, or has failed with a fault.
+    """Effect: the command with this tag is committed (synced on two disks) or has failed with a fault.
 
-    >>> Done(('call', 1), {'ok': True}).ret
+    >>> Done(('call', 1), {'ok': True}).reply
     {'ok': True}
     """
 
     tag: tuple
-    ret: dict
+    reply: dict
 
 
 class Return(NamedTuple):
-    """The return of a message that was told to us.
+    """Effect: reply to the message that came as Told with the same call.
 
     >>> Return(4, {'ok': True}).call
     4
     """
 
     call: Any
-    ret: dict
+    reply: dict
 
 
 class Propose(NamedTuple):
-    """Ask the authority of a part to grant a seat.
+    """Effect: ask the authority that grants replica sets to grant this one to a partition.
 
-    >>> Propose('p00', (2, 1, 'a', 'c')).seat[0]
+    >>> Propose('p00', (2, 1, 'a', 'c')).replica_set[0]
     2
     """
 
     part: str
-    seat: tuple
+    replica_set: tuple
 
 
 class Note(NamedTuple):
-    """One line for the journal.
+    """Effect: log one line in the journal.
 
     >>> Note('epoch', {'part': 'core'}).kind
     'epoch'
@@ -73,18 +77,18 @@
 
 
 class Count(NamedTuple):
-    """Add to a counter.
+    """Effect: add to a counter.
 
-    >>> Count('frames').more
+    >>> Count('frames').amount
     1
     """
 
-    what: str
-    more: float = 1
+    name: str
+    amount: float = 1
 
 
 class Violated(NamedTuple):
-    """A promise that the code checks does not hold; the process counts it and lives on.
+    """Effect: report that an invariant does not hold; the process counts it and continues.
 
     >>> Violated('epoch_forward', {'part': 'core'}).name
     'epoch_forward'
@@ -95,18 +99,18 @@
 
 
 class Heard(NamedTuple):
-    """The return of an Ask; None if none came.
+    """Event: the reply to an Ask; None if none came.
 
-    >>> Heard(('t',), None).ret is None
+    >>> Heard(('t',), None).reply is None
     True
     """
 
     tag: tuple
-    ret: dict | None
+    reply: dict | None
 
 
 class Wrote(NamedTuple):
-    """A Write has been synced.
+    """Event: a Write has been synced.
 
     >>> Wrote(('t',)).tag
     ('t',)
@@ -116,7 +120,7 @@
 
 
 class Told(NamedTuple):
-    """A message came; the reducer owes a Return with the same call.
+    """Event: a message arrived; the reducer must answer it with a Return of the same call.
 
     >>> Told(1, {'k': 'frame'}).message['k']
     'frame'
@@ -127,9 +131,9 @@
 
 
 class Tick(NamedTuple):
-    """The clock event of the process, ten times a second; `wall_ahead` is how far the wall clock is ahead of
-    the steady one. When the disk begins to take nothing there is one that says so, and none after it until
-    the disk takes writes again.
+    """Event: the periodic clock tick, ten times a second. `wall_ahead` is the wall clock's lead over the steady
+    clock. One tick with `blocked` is sent when writes to the disk become blocked, and none after it until
+    the disk accepts writes again.
 
     >>> Tick().wall_ahead, Tick().blocked
     (datetime.timedelta(0), False)
--- a/src/quillstall/runtime/errors.py
+++ b/src/quillstall/runtime/errors.py
@@ -1,8 +1,8 @@
-"""Fault: the one exception that crosses our borders, always with a stable code."""
+"""Fault, the one exception that is sent between processes and to clients, with a stable code."""
 
 from typing import Any
 
-# code: (HTTP status, title, what is known of the run: 'no', 'yes', 'unknown')
+# code: (HTTP status, title, whether the request may have been executed: 'no', 'yes', 'unknown')
 CODES: dict[str, tuple[int, str, str]] = {
     'bad_json': (400, 'The body is not JSON', 'no'),
     'bad_header': (400, 'A header cannot be read', 'no'),
@@ -46,12 +46,12 @@
 
 
 class Fault(Exception):
-    """An error with a code, a text, and the findings with their places.
+    """An error with a code, a text and findings: pairs of a path in the request and what is wrong there.
 
     >>> f = Fault('shed', 'queue is full', wait_ms=1500)
     >>> f.code, f.status, f.ran
     ('shed', 503, 'no')
-    >>> Fault.of(f.pack()).wait_ms
+    >>> Fault.unpack(f.pack()).wait_ms
     1500
     """
 
@@ -74,7 +74,7 @@
         self.more = more or {}
 
     def pack(self) -> dict[str, Any]:
-        """The fault as a message between our processes.
+        """Return the fault as a message between processes.
 
         >>> Fault('lost', 'cut').pack()['fault']
         'lost'
@@ -89,26 +89,26 @@
         }
 
     @staticmethod
-    def of(pack: dict) -> 'Fault':
-        """The fault a message stands for; an unknown code becomes 'internal'.
+    def unpack(message: dict) -> 'Fault':
+        """Return the fault of a packed message; an unknown code becomes 'internal'.
 
-        >>> Fault.of({'fault': 'moved'}).code
+        >>> Fault.unpack({'fault': 'moved'}).code
         'moved'
-        >>> Fault.of({'fault': 'xyz'}).code
+        >>> Fault.unpack({'fault': 'xyz'}).code
         'internal'
         """
-        code = pack['fault'] if pack['fault'] in CODES else 'internal'
+        code = message['fault'] if message['fault'] in CODES else 'internal'
         return Fault(
             code,
-            pack.get('text') or '',
-            tuple(tuple(f) for f in pack.get('findings') or ()),
-            pack.get('ran') or '',
-            pack.get('wait_ms'),
-            pack.get('more') or {},
+            message.get('text') or '',
+            tuple(tuple(f) for f in message.get('findings') or ()),
+            message.get('ran') or '',
+            message.get('wait_ms'),
+            message.get('more') or {},
         )
 
-    def problem(self, place: str = '') -> dict[str, Any]:
-        """The body of an application/problem+json answer.
+    def problem(self, path: str = '') -> dict[str, Any]:
+        """Return the body of an application/problem+json response.
 
         >>> p = Fault('invalid', 'see findings', (('max_tokens', 'is negative'),)).problem('/v1/turns')
         >>> p['code'], p['ran'], p['findings']
@@ -120,7 +120,7 @@
             'status': self.status,
             'code': self.code,
             'detail': self.text,
-            'instance': place,
+            'instance': path,
             'ran': self.ran,
         }
         if self.findings:
--- a/src/quillstall/runtime/process.py
+++ b/src/quillstall/runtime/process.py
@@ -1,9 +1,9 @@
-"""Process: runs a reducer. One loop takes events from one queue, steps, and performs the effects.
+"""Runs a reducer: one loop takes events from a queue, applies the reducer and carries out its effects.
 
-A process whose disk takes nothing (full, refusing, stalled) is *blocked*: it keeps running, answers every
-message with the fault that it cannot confirm, and sends nothing but a store's last word that it is blocked;
-its reducer gets no clock events. A store still answers pings: it is not lost. Its place is given to
-somebody else, and for its reducer the moment when the disk takes writes again is like waking up.
+A process whose disk rejects writes (full, failing or stalled) is *blocked*. It keeps running, but it answers
+messages with a fault, as it can confirm nothing, sends nothing except a store's poll that reports the blocked
+disk, and gives its reducer no ticks. A store still answers pings, as it is not lost. Other members replace it
+in its replica sets; to its reducer, the time until the disk accepts writes again is like a suspension.
 """
 
 import asyncio
@@ -14,31 +14,29 @@
 
 from tornado.queues import Queue
 
-from quillstall.runtime.clock import of_ms
+from quillstall.runtime.clock import from_ms
 from quillstall.runtime.effect import Ask, Count, Heard, Note, Return, Tick, Told, Violated, Write, Wrote
 from quillstall.runtime.errors import Fault
 
-TICK = timedelta(milliseconds=100)
-SILENT_MS = 2000  # where the startup does not say so: so long silent, a member is given up by the others
-BLOCKED_SHARE = 0.6  # of that time a write waits for its sync before the process counts as blocked
-SLOW_SYNC_S = 0.3  # a write that waits for its sync for longer is told of
-SLOW_SYNC_NOTED_EVERY_S = 1.0
-LATE_TICK_S = 0.3  # a clock event that comes so much later than it should is told of: the loop stood still
-SLOW_STEP_S = 0.15  # a step of the reducer that takes longer is told of
-ANSWERED_WHEN_BLOCKED = {  # they confirm nothing
-    'core': ('status',),  # for people who look
-    'store': (
-        'status',
-        'who',
-    ),  # other stores' pings: it is not lost, so no partition may go on with one copy
+TICK_INTERVAL = timedelta(milliseconds=100)
+DEFAULT_SILENT_MS = 2000  # of the startup: other members consider a member lost after it
+BLOCKED_FRACTION = 0.6  # share of silent_ms that a write may wait for its sync before the process is blocked
+SLOW_SYNC_S = 0.3  # threshold for logging a slow sync
+SLOW_SYNC_NOTE_INTERVAL_S = 1.0
+LATE_TICK_S = 0.3  # delay of a tick that is logged: the event loop was stalled
+SLOW_STEP_S = 0.15  # threshold for logging a slow step of the reducer
+MESSAGES_ANSWERED_WHEN_BLOCKED = {  # replies that confirm no write
+    'core': ('status',),  # for operators
+    # 'who' is the ping of other stores: a blocked store is not lost, so no partition may go on with one copy.
+    'store': ('status', 'who'),
 }
-SENT_WHEN_BLOCKED = ('poll',)  # a store's last word to the core
+MESSAGES_SENT_WHEN_BLOCKED = ('poll',)  # a store's poll tells the core that its disk is blocked
 
 
-class Ctx(NamedTuple):
-    """The one context object of a process: everything it may touch.
+class Context(NamedTuple):
+    """All that a process has access to: its settings, clock, network, disk, HTTP, journal and randomness.
 
-    >>> Ctx({'name': 'a'}, None, None, None, None, None, None).startup['name']
+    >>> Context({'name': 'a'}, None, None, None, None, None, None).startup['name']
     'a'
     """
 
@@ -48,88 +46,91 @@
     disk: Any
     web: Any
     journal: Any
-    dice: Any
-    lister: Any = None  # whom to ask for the replicas of listed pools
-    dialect: Any = None  # the names of a gateway's headers
-    desk: Any = None  # another interface for operators, beside our own
+    rng: Any  # random number generator
+    lister: Any = None  # returns the replicas of pools that an external service lists
+    dialect: Any = None  # the header names and status codes of a gateway
+    admin_api: Any = None  # a class that serves a further admin API
 
 
 def blocked_after_s(startup: dict) -> float:
-    """How long a write waits for its sync before a process counts as blocked. A replica that does not confirm
-    for so long is taken off its partition, too.
+    """Return how long a write may wait for its sync before the process is blocked. A backup that confirms
+    nothing for that long is removed from its partition, too.
 
     >>> blocked_after_s({'silent_ms': 1000})
     0.6
     """
-    return startup.get('silent_ms', SILENT_MS) * BLOCKED_SHARE / 1000
+    return startup.get('silent_ms', DEFAULT_SILENT_MS) * BLOCKED_FRACTION / 1000
 
 
-class Host:
-    """A running reducer: its queue, its state, its calls in flight."""
+class ReducerRunner:
+    """A running reducer: its state, its event queue and the calls that wait for its replies."""
 
-    def __init__(self, ctx: Ctx, state: Any, step: Callable, where: Callable):
+    def __init__(self, ctx: Context, state: Any, step: Callable, address_of: Callable):
         self.ctx = ctx
         self.state = state
         self.step = step
-        self.where = where
+        self.address_of = address_of
         self.queue: Queue = Queue()
         self.calls: dict[int, asyncio.Future] = {}
-        self.last = 0
+        self.last_call = 0
         self.tasks: set = set()
-        self.dead: asyncio.Future | None = None
-        self.unsynced: deque[float] = deque()  # when each write that is not synced was begun, in order
-        self.noted_blocked = False
-        self.slow_sync_noted = -SLOW_SYNC_NOTED_EVERY_S
+        self.failure: asyncio.Future | None = None
+        self.unsynced: deque[float] = deque()  # start times of the writes that are not synced yet, in order
+        self.reported_blocked = False
+        self.slow_sync_noted_at = -SLOW_SYNC_NOTE_INTERVAL_S
         self.blocked_after_s = blocked_after_s(ctx.startup)
 
-    def spawn(self, work: Any) -> None:
-        """Run work beside the loop, kept from being collected: `host.spawn(work())`."""
-        task = asyncio.ensure_future(work)
+    def spawn(self, coroutine: Any) -> None:
+        """Run a coroutine as a task and keep a reference to the task: `runner.spawn(work())`."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def told(self, message: dict) -> dict:
-        """The reducer's return to a message: `await host.told({'k': 'who'})`.
+    async def handle(self, message: dict) -> dict:
+        """Return the reducer's reply to a message: `await runner.handle({'k': 'who'})`.
 
-        A message names whom it is meant for: at the address of a machine that lost its disk lives
-        another member now, which must not speak for the old one."""
+        A message for another member is refused: a machine that lost its disk returns to its address as a new
+        member, which must not answer for the old one."""
         if message.get('to') not in (None, self.state.me):
             return Fault('refused', f'{message["to"]} does not live here now').pack()
-        if self.blocked() and message.get('k') not in ANSWERED_WHEN_BLOCKED[self.ctx.startup['role']]:
+        if (
+            self.blocked()
+            and message.get('k') not in MESSAGES_ANSWERED_WHEN_BLOCKED[self.ctx.startup['role']]
+        ):
             self.ctx.journal.count('blocked')
             return Fault(f'{self.ctx.startup["role"]}_away', 'the disk takes no writes now').pack()
-        self.last += 1
-        call = self.last
-        wait = self.calls[call] = asyncio.get_running_loop().create_future()
+        self.last_call += 1
+        call = self.last_call
+        future = self.calls[call] = asyncio.get_running_loop().create_future()
         self.queue.put_nowait(Told(call, message))
         try:
-            return await wait
+            return await future
         finally:
             self.calls.pop(call, None)
 
     def blocked(self) -> bool:
-        """Whether the disk has taken nothing for long: `host.blocked()`. Counted by a clock that no one can
-        set."""
+        """Return whether the oldest write has waited too long for its sync, by the monotonic clock."""
         if not self.unsynced:
             return False
         return asyncio.get_running_loop().time() - self.unsynced[0] > self.blocked_after_s
 
     def note_blocked(self) -> None:
-        """Tell the reducer when the process becomes blocked, and the journal of that and of its end."""
+        """Log when the process becomes blocked or unblocked; give the reducer a blocked tick when it blocks."""
         blocked = self.blocked()
-        if blocked != self.noted_blocked:
-            self.noted_blocked = blocked
+        if blocked != self.reported_blocked:
+            self.reported_blocked = blocked
             if blocked:
                 self.queue.put_nowait(Tick(self.wall_ahead(), blocked=True))
             self.ctx.journal.note('disk_blocked' if blocked else 'disk_serves', unsynced=len(self.unsynced))
 
     async def run(self) -> None:
-        """Step through events until the disk's file is found corrupt; then stop at once: `await host.run()`."""
-        self.dead = asyncio.get_running_loop().create_future()
-        self.spawn(self.ticks())
+        """Process events until the database is corrupt or the reducer fails on an event other than a message;
+        then cancel all tasks and raise the error: `await runner.run()`."""
+        self.failure = asyncio.get_running_loop().create_future()
+        self.spawn(self.send_ticks())
         self.spawn(self.loop())
         try:
-            await self.dead
+            await self.failure
         finally:
             for task in list(self.tasks):
                 task.cancel()
@@ -137,32 +138,34 @@
     async def loop(self) -> None:
         while True:
             event = await self.queue.get()
-            began = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             try:
                 self.state, effects = self.step(self.state, event, self.ctx.clock.now())
             except (KeyError, TypeError, ValueError, AttributeError, IndexError) as e:
                 self.ctx.journal.count('garbled')
                 if type(event) is not Told:
-                    self.dead.set_exception(e)
+                    self.failure.set_exception(e)
                     return
-                self.finish(event.call, Fault('garbled', f'{type(e).__name__}: {e}').pack())
+                self.send_reply(event.call, Fault('garbled', f'{type(e).__name__}: {e}').pack())
                 continue
-            self.note_slow_step(event, began)
+            self.note_slow_step(event, started_at)
             for effect in effects:
                 self.perform(effect)
 
-    def note_slow_step(self, event: Any, began: float) -> None:
-        """Note a step that took long, with what it was about."""
-        took = asyncio.get_running_loop().time() - began
-        if took > SLOW_STEP_S:
-            about = event.message.get('k') if type(event) is Told else getattr(event, 'tag', None)
-            self.ctx.journal.note('step_slow', ms=round(took * 1000), event=type(event).__name__, of=about)
+    def note_slow_step(self, event: Any, started_at: float) -> None:
+        """Log a step that took long, with its event and the kind or tag of it."""
+        duration = asyncio.get_running_loop().time() - started_at
+        if duration > SLOW_STEP_S:
+            subject = event.message.get('k') if type(event) is Told else getattr(event, 'tag', None)
+            self.ctx.journal.note(
+                'step_slow', ms=round(duration * 1000), event=type(event).__name__, of=subject
+            )
 
     def perform(self, effect: Any) -> None:
-        """Carry out one effect; what takes time goes on in a task of its own."""
+        """Carry out one effect; calls and writes run in a task of their own."""
         kind = type(effect)
         if kind is Return:
-            self.finish(effect.call, effect.ret)
+            self.send_reply(effect.call, effect.reply)
         elif kind is Ask:
             self.spawn(self.ask(effect))
         elif kind is Write:
@@ -170,71 +173,71 @@
         elif kind is Note:
             self.ctx.journal.note(effect.kind, **effect.facts)
         elif kind is Count:
-            self.ctx.journal.count(effect.what, effect.more)
+            self.ctx.journal.count(effect.name, effect.amount)
         elif kind is Violated:
             self.ctx.journal.violated(effect.name, **effect.facts)
 
-    def note_slow_sync(self, began: float) -> None:
-        """Count a write whose sync took long, and note it unless one was noted in the last second."""
+    def note_slow_sync(self, started_at: float) -> None:
+        """Count a write whose sync took long, and log it unless one was logged in the last second."""
         now = asyncio.get_running_loop().time()
-        if now - began <= SLOW_SYNC_S:
+        if now - started_at <= SLOW_SYNC_S:
             return
         self.ctx.journal.count('sync.slow')
-        if now - self.slow_sync_noted >= SLOW_SYNC_NOTED_EVERY_S:
-            self.slow_sync_noted = now
-            self.ctx.journal.note('sync_slow', ms=round((now - began) * 1000), behind=len(self.unsynced))
+        if now - self.slow_sync_noted_at >= SLOW_SYNC_NOTE_INTERVAL_S:
+            self.slow_sync_noted_at = now
+            self.ctx.journal.note('sync_slow', ms=round((now - started_at) * 1000), behind=len(self.unsynced))
 
-    def finish(self, call: int, ret: dict) -> None:
-        wait = self.calls.get(call)
-        if wait and not wait.done():
-            wait.set_result(ret)
+    def send_reply(self, call: int, reply: dict) -> None:
+        future = self.calls.get(call)
+        if future and not future.done():
+            future.set_result(reply)
 
-    async def ticks(self) -> None:
+    async def send_ticks(self) -> None:
         while True:
             self.note_blocked()
             if not self.blocked():
                 self.queue.put_nowait(Tick(self.wall_ahead()))
-            due = asyncio.get_running_loop().time() + TICK.total_seconds()
-            await self.ctx.clock.sleep(TICK)
-            self.note_late_tick(due)
-
-    def note_late_tick(self, due: float) -> None:
-        """Note that the loop stood still: the processor was busy with something else, or taken away."""
-        late = asyncio.get_running_loop().time() - due
-        if late > LATE_TICK_S:
+            due_at = asyncio.get_running_loop().time() + TICK_INTERVAL.total_seconds()
+            await self.ctx.clock.sleep(TICK_INTERVAL)
+            self.note_late_tick(due_at)
+
+    def note_late_tick(self, due_at: float) -> None:
+        """Log a late tick: the event loop was stalled by long work or the process was not scheduled."""
+        delay = asyncio.get_running_loop().time() - due_at
+        if delay > LATE_TICK_S:
             self.ctx.journal.count('tick.late')
-            self.ctx.journal.note('tick_late', ms=round(late * 1000), events=self.queue.qsize())
+            self.ctx.journal.note('tick_late', ms=round(delay * 1000), events=self.queue.qsize())
 
     def wall_ahead(self) -> timedelta:
-        """How far the wall clock is ahead of the steady one."""
+        """Return how far the wall clock is ahead of the steady clock."""
         return self.ctx.clock.wall() - self.ctx.clock.now()
 
     async def ask(self, effect: Ask) -> None:
-        ret = None
-        if self.blocked() and effect.message['k'] not in SENT_WHEN_BLOCKED:
+        reply = None
+        if self.blocked() and effect.message['k'] not in MESSAGES_SENT_WHEN_BLOCKED:
             self.queue.put_nowait(Heard(effect.tag, None))
             return
-        address = self.where(self.state, effect.to)
+        address = self.address_of(self.state, effect.to)
         self.ctx.journal.count('asked.' + effect.message['k'])
         message = effect.message if ':' in effect.to else {**effect.message, 'to': effect.to}
         if address == self.ctx.startup['address']:
-            ret = await self.told(message)
+            reply = await self.handle(message)
         elif address:
             try:
-                ret = await self.ctx.net.ask(address, message, of_ms(effect.limit_ms))
+                reply = await self.ctx.net.ask(address, message, from_ms(effect.timeout_ms))
             except Fault as e:
-                ret = None if e.code in ('unreachable', 'lost', 'slow') else e.pack()
-        self.queue.put_nowait(Heard(effect.tag, ret))
+                reply = None if e.code in ('unreachable', 'lost', 'slow') else e.pack()
+        self.queue.put_nowait(Heard(effect.tag, reply))
 
     async def write(self, effect: Write) -> None:
-        began = asyncio.get_running_loop().time()
-        self.unsynced.append(began)
+        started_at = asyncio.get_running_loop().time()
+        self.unsynced.append(started_at)
         try:
             await self.ctx.disk.write(effect.puts)
         except Fault as e:
-            if not self.dead.done():
-                self.dead.set_exception(e)
+            if not self.failure.done():
+                self.failure.set_exception(e)
             return
         self.unsynced.popleft()
-        self.note_slow_sync(began)
+        self.note_slow_sync(started_at)
         self.queue.put_nowait(Wrote(effect.tag))
--- a/src/quillstall/testbed/model/breaks.py
+++ b/src/quillstall/testbed/model/breaks.py
@@ -375,8 +375,8 @@
     original = ballot.handle_reply
 
     def handle_reply(campaign: Any, event: Any, *arguments: Any) -> tuple:
-        if event.ret and event.ret.get('seat'):
-            event = event._replace(ret={**event.ret, 'seat': None})
+        if event.reply and event.reply.get('seat'):
+            event = event._replace(reply={**event.reply, 'seat': None})
         return original(campaign, event, *arguments)
 
     with patch.object(ballot, 'handle_reply', handle_reply):
@@ -391,7 +391,7 @@
     def handle_reply(
         campaign: Any, event: Any, me: str, configurations: tuple, own: Any, *arguments: Any
     ) -> tuple:
-        reply = event.ret or {}
+        reply = event.reply or {}
         if reply.get('seat') and event.tag[2] == 'ask' and own and reply['seat'][0] > own.epoch:
             return (
                 ballot.fail_round(campaign, arguments[-1]),
@@ -410,9 +410,9 @@
     original = core.finish_command
 
     def finish_command(state: Any, effect: Done, *arguments: Any) -> Any:
-        if 'rows' in effect.ret:
+        if 'rows' in effect.reply:
             newest = core_state.core_copy(state).rows
-            effect = effect._replace(ret={**effect.ret, 'rows': newest})
+            effect = effect._replace(reply={**effect.reply, 'rows': newest})
         return original(state, effect, *arguments)
 
     with patch.object(core, 'finish_command', finish_command):
